--- a/src/edge/answer_watch.hpp
+++ b/src/edge/answer_watch.hpp
@@ -31,8 +31,8 @@
   std::optional<Warning> answered(double now, std::uint32_t result, const std::string& failed_avp) {
     const auto known = counts_.find(result);
     counts_[known != counts_.end() || counts_.size() < kMostCodes ? result : 0] += 1;
-    const Meaning meaning = meaning_of(result);
-    const bool error = !meaning.stands && meaning.outcome == Outcome::kError;
+    const ResultMeaning meaning = meaning_of(result);
+    const bool error = !meaning.established && meaning.outcome == Outcome::kError;
     if (!error || meaning.cause == Cause::kNumberBusy) {
       in_a_row_ = 0;
       return std::nullopt;
--- a/src/edge/config.cpp
+++ b/src/edge/config.cpp
@@ -100,7 +100,7 @@
     from.read("watchdog", out.core.watchdog);
     from.read_time("watchdog_interval", out.core.watchdog_s, 6, kDay);  // RFC 3539 3.4.1: not under 6 s
     from.read_time("reconnect", out.core.reconnect_s, 0.01, kDay);
-    from.read_time("connect_timeout", out.core.connect_s, 0.001, 60);
+    from.read_time("connect_timeout", out.core.connect_timeout_s, 0.001, 60);
     from.read_time("session_hold", out.core.session_hold_s, 0, kDay);
     from.read_time("linger", out.core.linger_s, 0, kDay);
     from.read("max_unsent", out.core.max_unsent, 4096, 1u << 30);
@@ -187,8 +187,9 @@
                     a.node.listen == b.node.listen && a.node.admin == b.node.admin);
   fixed("core", a.core.plain == b.core.plain && a.core.watchdog == b.core.watchdog &&
                     a.core.watchdog_s == b.core.watchdog_s && a.core.reconnect_s == b.core.reconnect_s &&
-                    a.core.connect_s == b.core.connect_s && a.core.session_hold_s == b.core.session_hold_s &&
-                    a.core.linger_s == b.core.linger_s && a.core.max_unsent == b.core.max_unsent);
+                    a.core.connect_timeout_s == b.core.connect_timeout_s &&
+                    a.core.session_hold_s == b.core.session_hold_s && a.core.linger_s == b.core.linger_s &&
+                    a.core.max_unsent == b.core.max_unsent);
   fixed("realms", a.realms == b.realms && a.other_realms == b.other_realms);
   fixed("unknown_class", a.classes.unknown == b.classes.unknown);
   fixed("callers", a.callers.end_wait_s == b.callers.end_wait_s &&
--- a/src/edge/config.hpp
+++ b/src/edge/config.hpp
@@ -25,13 +25,13 @@
   } node;
 
   struct Core {
-    bool plain = false;         // send no AVPs but those of RFC 6733 and RFC 8506
-    bool watchdog = false;      // send watchdog requests to core servers (theirs are always answered)
-    double watchdog_s = 30;     // Tw
-    double reconnect_s = 1;     // Tc
-    double connect_s = 0.5;     // for a connection and its CEA; also how long a set-up waits for one
-    double session_hold_s = 2;  // standing calls outlive their connection for so long
-    double linger_s = 30;       // how long the answer of a given-up attempt is still known
+    bool plain = false;              // send no AVPs but those of RFC 6733 and RFC 8506
+    bool watchdog = false;           // send watchdog requests to core servers (theirs are always answered)
+    double watchdog_s = 30;          // Tw
+    double reconnect_s = 1;          // Tc
+    double connect_timeout_s = 0.5;  // for a connection and its CEA; also how long a set-up waits for one
+    double session_hold_s = 2;       // standing calls outlive their connection for so long
+    double linger_s = 30;            // how long the answer of a given-up attempt is still known
     std::uint32_t max_unsent = 1 << 20;  // bytes
   } core;
 
--- a/src/edge/core_side.cpp
+++ b/src/edge/core_side.cpp
@@ -8,7 +8,7 @@
 
 CoreSessions::Settings session_settings(const Config::Core& core) {
   CoreSessions::Settings out;
-  out.connect_s = core.connect_s;
+  out.connect_s = core.connect_timeout_s;
   out.session_hold_s = core.session_hold_s;
   out.linger_s = core.linger_s;
   return out;
@@ -69,7 +69,7 @@
   settings.watchdog = config_.core.watchdog;
   settings.tw_s = config_.core.watchdog_s;
   settings.tc_s = config_.core.reconnect_s;
-  settings.answer_s = config_.core.connect_s;
+  settings.answer_s = config_.core.connect_timeout_s;
   settings.max_length = config_.max_message;
   net::Address address;
   try {
@@ -79,17 +79,19 @@
     return;
   }
   PeerLink::Handlers handlers;
-  handlers.up = [this, &server] { on_up(server); };
-  handlers.down = [this, &server](const std::string& why) { on_down(server, why); };
-  handlers.suspect = [this, &server](bool suspect) {
+  handlers.on_up = [this, &server] { on_up(server); };
+  handlers.on_down = [this, &server](const std::string& why) { on_down(server, why); };
+  handlers.on_suspect = [this, &server](bool suspect) {
     ports_.core_event(server.entry.identity, suspect ? "suspect" : "usable", "");
   };
-  handlers.message = [this, &server](const diameter::MessageView& view, bool) { on_message(server, view); };
-  handlers.bad = [this, &server](const std::string& what) {
+  handlers.on_message = [this, &server](const diameter::MessageView& view, bool) {
+    on_message(server, view);
+  };
+  handlers.on_malformed = [this, &server](const std::string& what) {
     counts_.bad += 1;
     ports_.core_event(server.entry.identity, "malformed", what);
   };
-  handlers.refused = [this, &server](const std::string& why) { on_refused(server, why); };
+  handlers.on_connect_failed = [this, &server](const std::string& why) { on_refused(server, why); };
   server.link = std::make_unique<PeerLink>(loop_, local_, settings, seed_ ^ server.id, address,
                                            config_.core.max_unsent, std::move(handlers));
 }
@@ -254,7 +256,7 @@
 void CoreSide::on_answer(Server& server, const diameter::MessageView& view) {
   using Kind = CoreSessions::Answer::Kind;
   const CoreAnswer answer = read_core_answer(view);
-  const auto known = server.sessions.answered(view.header.hop_by_hop, session_of(view), answer.stands);
+  const auto known = server.sessions.answered(view.header.hop_by_hop, session_of(view), answer.established);
   if (known.kind == Kind::kUnexpected) {
     counts_.unexpected += 1;
     return;
@@ -274,12 +276,12 @@
           group_of(answer.result) == ResultGroup::kTransient) {
         return;
       }
-      return ports_.core_released(known.record->session_id, answer.stands);
+      return ports_.core_released(known.record->session_id, answer.established);
     case Kind::kOfSetup:
       if (const auto warning = server.answers.answered(loop_.now(), answer.result, answer.failed_avp)) {
         ports_.core_errors(server.entry.identity, *warning);
       }
-      if (answer.stands) return ports_.core_stood(known.who.call, known.who.attempt, answer);
+      if (answer.established) return ports_.core_stood(known.who.call, known.who.attempt, answer);
       return ports_.core_ended(known.who.call, known.who.attempt, answer);
     default:
       return;
--- a/src/edge/credit_control.cpp
+++ b/src/edge/credit_control.cpp
@@ -196,12 +196,12 @@
     // RFC 8583 section 7.3: 0 to 65535, of HOST (0)
     if (raw && type.value_or(1) == 0) out.load = std::min(1.0, static_cast<double>(*raw) / 65535.0);
   }
-  const Meaning meaning = meaning_of(out.result);
-  out.stands = meaning.stands;
+  const ResultMeaning meaning = meaning_of(out.result);
+  out.established = meaning.established;
   out.outcome = meaning.outcome;
   out.cause = meaning.cause;
-  if (out.cause == Cause::kProcessorFull) out.told_wait_s = wait_s;
-  if (!out.stands) {
+  if (out.cause == Cause::kProcessorFull) out.advised_wait_s = wait_s;
+  if (!out.established) {
     out.failed_avp = text(answer, avp::kFailedAvp);
     out.text = text(answer, avp::kErrorMessage);
   }
--- a/src/edge/credit_control.hpp
+++ b/src/edge/credit_control.hpp
@@ -74,10 +74,10 @@
 // What a core server's answer to a set-up says.
 struct CoreAnswer {
   std::uint32_t result = 0;  // 0: it has none
-  bool stands = false;
+  bool established = false;
   Outcome outcome = Outcome::kError;
   Cause cause = Cause::kNone;
-  double told_wait_s = 0;
+  double advised_wait_s = 0;
   Report report;
   std::optional<double> load;  // RFC 8583, of the host, 0 to 1
   std::string failed_avp;      // data of the first Failed-AVP
--- a/src/edge/diameter_front.cpp
+++ b/src/edge/diameter_front.cpp
@@ -143,19 +143,19 @@
   settings.max_length = config_.max_message;
   PeerLink::Handlers handlers;
   Caller& caller = *slot;
-  handlers.up = [this, &caller] {
+  handlers.on_up = [this, &caller] {
     caller.gone = false;
     loop_.timers().cancel(std::exchange(caller.hold, 0));
     event_(caller.host, "up", "");
   };
-  handlers.down = [this, &caller](const std::string& why) { on_down(caller, why); };
-  handlers.suspect = [this, &caller](bool suspect) {
+  handlers.on_down = [this, &caller](const std::string& why) { on_down(caller, why); };
+  handlers.on_suspect = [this, &caller](bool suspect) {
     event_(caller.host, suspect ? "suspect" : "usable", "");
   };
-  handlers.message = [this, &caller](const MessageView& view, bool reopening) {
+  handlers.on_message = [this, &caller](const MessageView& view, bool reopening) {
     on_message(caller, view, reopening);
   };
-  handlers.bad = [this, &caller](const std::string& what) {
+  handlers.on_malformed = [this, &caller](const std::string& what) {
     counts_.bad += 1;
     event_(caller.host, "malformed", what);
   };
--- a/src/edge/edge.cpp
+++ b/src/edge/edge.cpp
@@ -296,7 +296,7 @@
     const auto found = calls_.find(call);
     if (found != calls_.end()) found->second.rejection = std::make_unique<const CoreAnswer>(answer);
   }
-  desk_.ended(call, attempt, answer.outcome, answer.cause, answer.told_wait_s, answer.report, loop_.now());
+  desk_.ended(call, attempt, answer.outcome, answer.cause, answer.advised_wait_s, answer.report, loop_.now());
   watch_desk();
 }
 
--- a/src/edge/peer_link.cpp
+++ b/src/edge/peer_link.cpp
@@ -80,7 +80,7 @@
       peer_.closed(link, loop_.now(), why);
     } else {
       peer_.connect_failed(loop_.now());
-      if (handlers_.refused) handlers_.refused(why);
+      if (handlers_.on_connect_failed) handlers_.on_connect_failed(why);
     }
     reschedule();
   };
--- a/src/edge/peer_link.hpp
+++ b/src/edge/peer_link.hpp
@@ -15,12 +15,12 @@
 class PeerLink : private diameter::PeerSink {
  public:
   struct Handlers {
-    std::function<void()> up;
-    std::function<void(const std::string& why)> down;
-    std::function<void(bool suspect)> suspect;
-    std::function<void(const diameter::MessageView&, bool reopening)> message;
-    std::function<void(const std::string& what)> bad;
-    std::function<void(const std::string& why)> refused;  // a connection could not be had
+    std::function<void()> on_up;
+    std::function<void(const std::string& why)> on_down;
+    std::function<void(bool suspect)> on_suspect;
+    std::function<void(const diameter::MessageView&, bool reopening)> on_message;
+    std::function<void(const std::string& what)> on_malformed;
+    std::function<void(const std::string& why)> on_connect_failed;  // a connection could not be had
   };
 
   PeerLink(net::Loop& loop, const diameter::LocalNode& local, diameter::PeerSettings settings,
@@ -42,13 +42,13 @@
   void connect() override;
   void send(diameter::Link link, std::string bytes) override;
   void close(diameter::Link link) override;
-  void up() override { handlers_.up(); }
-  void down(const std::string& why) override { handlers_.down(why); }
-  void suspect(bool now_suspect) override { handlers_.suspect(now_suspect); }
+  void up() override { handlers_.on_up(); }
+  void down(const std::string& why) override { handlers_.on_down(why); }
+  void suspect(bool now_suspect) override { handlers_.on_suspect(now_suspect); }
   void message(const diameter::MessageView& view, bool reopening) override {
-    handlers_.message(view, reopening);
+    handlers_.on_message(view, reopening);
   }
-  void bad(const std::string& what) override { handlers_.bad(what); }
+  void bad(const std::string& what) override { handlers_.on_malformed(what); }
 
   std::shared_ptr<net::Stream>& stream(diameter::Link link) {
     return streams_[link == diameter::Link::kInitiated ? 0 : 1];
--- a/src/edge/results.cpp
+++ b/src/edge/results.cpp
@@ -77,7 +77,7 @@
   }
 }
 
-Meaning meaning_of(std::uint32_t result) {
+ResultMeaning meaning_of(std::uint32_t result) {
   const ResultGroup group = group_of(result);
   if (group == ResultGroup::kSuccess) return {true, Outcome::kEnded, Cause::kNone};
   if (const Row* row = find(result)) return {false, row->outcome, row->cause};
--- a/src/edge/results.hpp
+++ b/src/edge/results.hpp
@@ -17,14 +17,14 @@
 enum class ResultGroup { kInformational, kSuccess, kProtocolError, kTransient, kPermanent, kUnknown };
 ResultGroup group_of(std::uint32_t result);
 
-struct Meaning {
-  bool stands = false;
+struct ResultMeaning {
+  bool established = false;
   Outcome outcome = Outcome::kError;
   Cause cause = Cause::kNone;
   // The same set-up would be answered so again: kUnfit (by this server), kRejected (by any).
-  bool for_good() const { return cause == Cause::kUnfit || cause == Cause::kRejected; }
+  bool permanent() const { return cause == Cause::kUnfit || cause == Cause::kRejected; }
 };
-Meaning meaning_of(std::uint32_t result);
+ResultMeaning meaning_of(std::uint32_t result);
 
 // "DIAMETER_AVP_UNSUPPORTED"; empty for codes that this program does not know.
 std::string_view name_of_result(std::uint32_t result);
--- a/src/lab/call.cpp
+++ b/src/lab/call.cpp
@@ -177,7 +177,8 @@
     const auto found = calls_.find(session);
     if (found == calls_.end() || found->second.hop != view.header.hop_by_hop || found->second.stands) return;
     const edge::CoreAnswer answer = edge::read_core_answer(view);  // callers' answers read alike
-    if (!answer.stands) return over(session, answer.result != 0 && answer.result < 5000, answer.told_wait_s);
+    if (!answer.established)
+      return over(session, answer.result != 0 && answer.result < 5000, answer.advised_wait_s);
     Call& call = found->second;
     crowd_.loop.timers().cancel(std::exchange(call.impatient, 0));
     crowd_.loop.timers().cancel(call.timer);
--- a/tests/edge/edge_test.cpp
+++ b/tests/edge/edge_test.cpp
@@ -354,7 +354,7 @@
   core.host = GetParam();
   const bool proxy_wins = std::string("edge.test") > core.host;
   core.answer_cer = false;
-  start([](Config& config) { config.core.connect_s = 30; });
+  start([](Config& config) { config.core.connect_timeout_s = 30; });
   wait([&] { return core.cers.size() == 1; }, "the proxy's CER, unanswered");
   core.call(edge->callers_address());
   if (proxy_wins) {
@@ -464,7 +464,7 @@
 // A drain told while a set-up waits for its connection: it must not go out once the connection stands.
 TEST_F(Rig, ASetupThatWaitsForItsConnectionDoesNotOutliveADrain) {
   core.answer_cer = false;
-  start([](Config& config) { config.core.connect_s = 60; });
+  start([](Config& config) { config.core.connect_timeout_s = 60; });
   connect();
   const double begun = loop.now();
   caller.ccr("waits", 1, 1, "", 9000);
--- a/tests/edge/results_test.cpp
+++ b/tests/edge/results_test.cpp
@@ -21,10 +21,10 @@
 
 // A server's own inability may be another's ability; what is the call's own is the same everywhere.
 TEST(Results, TellTheServersFaultFromTheCalls) {
-  for (const std::uint32_t result : {2001u, 2002u}) EXPECT_TRUE(meaning_of(result).stands);
+  for (const std::uint32_t result : {2001u, 2002u}) EXPECT_TRUE(meaning_of(result).established);
   for (const std::uint32_t result : {3001u, 3003u, 3007u, 5001u, 5004u, 5012u, 5999u, 0u, 9999u}) {
     EXPECT_EQ(meaning_of(result).cause, Cause::kUnfit) << result;
-    EXPECT_TRUE(meaning_of(result).for_good()) << result;
+    EXPECT_TRUE(meaning_of(result).permanent()) << result;
   }
   for (const std::uint32_t result : {4001u, 4012u, 5003u, 5030u, 5031u}) {
     EXPECT_EQ(meaning_of(result).cause, Cause::kRejected) << result;
@@ -34,7 +34,7 @@
   EXPECT_EQ(meaning_of(3002).cause, Cause::kTurnedBack);
   EXPECT_EQ(meaning_of(4010).cause, Cause::kNumberBusy);
   for (const std::uint32_t result : {3004u, 5006u, 3002u, 4002u, 4999u})
-    EXPECT_FALSE(meaning_of(result).for_good());
+    EXPECT_FALSE(meaning_of(result).permanent());
 }
 
 std::string failed_avp(const diameter::AvpDef& def) {
