--- a/src/edge/admin.cpp
+++ b/src/edge/admin.cpp
@@ -8,55 +8,56 @@
 namespace mintrock::edge {
 namespace {
 
-constexpr std::size_t kMostConnections = 64;
-constexpr std::size_t kMostUrl = 1024;
-constexpr std::size_t kMostUnsent = 64 << 20;  // of one response
-constexpr double kIdle = 30;                   // s
+constexpr std::size_t kMaxConnections = 64;
+constexpr std::size_t kMaxUrlLength = 1024;
+constexpr std::size_t kMaxUnsent = 64 << 20;  // bytes; bounds one response
+constexpr double kIdleTimeout = 30;           // s
 
 }  // namespace
 
-struct Admin::Connection {
+struct AdminServer::Connection {
   std::uint64_t id = 0;
   std::shared_ptr<net::Stream> stream;
   http_parser parser{};
   http_parser_settings settings{};
   std::string url;
-  bool complete = false;
-  net::TimerId timer = 0;
+  bool complete = false;   // a whole request has been parsed
+  net::TimerId timer = 0;  // closes the connection when idle
 };
 
-Admin::Admin(net::Loop& loop, const net::Address& at, std::map<std::string, Handler> paths)
-    : loop_(loop), paths_(std::move(paths)) {
-  listener_ =
-      std::make_unique<net::Listener>(loop_, at, [this](int fd, net::Address from) { accepted(fd, from); });
+AdminServer::AdminServer(net::Loop& loop, const net::Address& address,
+                         std::map<std::string, Handler> handlers)
+    : loop_(loop), handlers_(std::move(handlers)) {
+  listener_ = std::make_unique<net::Listener>(loop_, address,
+                                              [this](int fd, net::Address from) { on_accepted(fd, from); });
 }
 
-Admin::~Admin() {
+AdminServer::~AdminServer() {
   for (auto& [id, each] : connections_) {
     loop_.timers().cancel(each->timer);
     each->stream->close();
   }
 }
 
-void Admin::drop(std::uint64_t id) {
+void AdminServer::drop(std::uint64_t id) {
   const auto found = connections_.find(id);
   if (found == connections_.end()) return;
   loop_.timers().cancel(found->second->timer);
   found->second->stream->close_after_flush();
-  // Its parser may be at work just now.
+  // Destroyed later: its parser may be running in a caller of this function.
   loop_.defer([keep = std::shared_ptr<Connection>(std::move(found->second))] {});
   connections_.erase(found);
 }
 
-void Admin::accepted(int fd, net::Address from) {
-  if (connections_.size() >= kMostConnections) {
+void AdminServer::on_accepted(int fd, net::Address from) {
+  if (connections_.size() >= kMaxConnections) {
     ::close(fd);
     return;
   }
-  auto made = std::make_unique<Connection>();
-  Connection& connection = *made;
-  connection.id = ++last_;
-  connection.stream = net::Stream::adopt(loop_, fd, from, kMostUnsent);
+  auto owned = std::make_unique<Connection>();
+  Connection& connection = *owned;
+  connection.id = ++last_id_;
+  connection.stream = net::Stream::adopt(loop_, fd, from, kMaxUnsent);
   http_parser_init(&connection.parser, HTTP_REQUEST);
   connection.parser.data = &connection;
   http_parser_settings_init(&connection.settings);
@@ -68,11 +69,11 @@
   connection.settings.on_url = [](http_parser* p, const char* at, std::size_t size) {
     Connection& self = *static_cast<Connection*>(p->data);
     self.url.append(at, size);
-    return self.url.size() > kMostUrl ? -1 : 0;
+    return self.url.size() > kMaxUrlLength ? -1 : 0;
   };
   connection.settings.on_message_complete = [](http_parser* p) {
     static_cast<Connection*>(p->data)->complete = true;
-    http_parser_pause(p, 1);  // one request at a time; those that are pipelined follow
+    http_parser_pause(p, 1);  // handle one request at a time; pipelined requests follow
     return 0;
   };
   const std::uint64_t id = connection.id;
@@ -97,30 +98,30 @@
     }
   };
   connection.stream->set(std::move(handlers));
-  connection.timer = loop_.after(kIdle, [this, id] { drop(id); });
-  connections_[id] = std::move(made);
+  connection.timer = loop_.after(kIdleTimeout, [this, id] { drop(id); });
+  connections_[id] = std::move(owned);
 }
 
-void Admin::respond(Connection& connection) {
+void AdminServer::respond(Connection& connection) {
   Response response;
   const std::string path = connection.url.substr(0, connection.url.find('?'));
-  const auto found = paths_.find(path);
+  const auto found = handlers_.find(path);
   if (connection.parser.method != HTTP_GET) {
     response = {405, "text/plain", "GET only\n"};
-  } else if (found == paths_.end()) {
+  } else if (found == handlers_.end()) {
     response = {404, "text/plain", "no such page\n"};
   } else {
     response = found->second();
   }
-  const bool keep = http_should_keep_alive(&connection.parser) != 0;
+  const bool keep_alive = http_should_keep_alive(&connection.parser) != 0;
   const char* reason = response.status == 200 ? "OK" : response.status == 404 ? "Not Found" : "Error";
   connection.stream->write("HTTP/1.1 " + std::to_string(response.status) + " " + reason +
                            "\r\nContent-Type: " + response.type +
                            "\r\nContent-Length: " + std::to_string(response.body.size()) +
-                           (keep ? "" : "\r\nConnection: close") + "\r\n\r\n" + response.body);
-  if (!keep) return drop(connection.id);
+                           (keep_alive ? "" : "\r\nConnection: close") + "\r\n\r\n" + response.body);
+  if (!keep_alive) return drop(connection.id);
   loop_.timers().cancel(connection.timer);
-  connection.timer = loop_.after(kIdle, [this, id = connection.id] { drop(id); });
+  connection.timer = loop_.after(kIdleTimeout, [this, id = connection.id] { drop(id); });
 }
 
 }  // namespace mintrock::edge
--- a/src/edge/admin.hpp
+++ b/src/edge/admin.hpp
@@ -1,4 +1,5 @@
-// A small HTTP/1.1 server for those who look after the proxy: GET only, one response at a time a connection.
+// A small HTTP/1.1 server for operators. It supports GET only, and sends one response at a time per
+// connection.
 #ifndef MINTROCK_SRC_EDGE_ADMIN_HPP_
 #define MINTROCK_SRC_EDGE_ADMIN_HPP_
 
@@ -12,7 +13,7 @@
 
 namespace mintrock::edge {
 
-class Admin {
+class AdminServer {
  public:
   struct Response {
     int status = 200;
@@ -21,20 +22,21 @@
   };
   using Handler = std::function<Response()>;
 
-  Admin(net::Loop& loop, const net::Address& at, std::map<std::string, Handler> paths);
-  ~Admin();
+  // `handlers` maps each path to the function that produces its page.
+  AdminServer(net::Loop& loop, const net::Address& address, std::map<std::string, Handler> handlers);
+  ~AdminServer();
   net::Address listening() const { return listener_->local(); }
 
  private:
   struct Connection;
-  void accepted(int fd, net::Address from);
+  void on_accepted(int fd, net::Address from);
   void drop(std::uint64_t id);
   void respond(Connection& connection);
 
   net::Loop& loop_;
-  std::map<std::string, Handler> paths_;
+  std::map<std::string, Handler> handlers_;
   std::map<std::uint64_t, std::unique_ptr<Connection>> connections_;
-  std::uint64_t last_ = 0;
+  std::uint64_t last_id_ = 0;
   std::unique_ptr<net::Listener> listener_;
 };
 
--- a/src/edge/config.hpp
+++ b/src/edge/config.hpp
@@ -25,35 +25,35 @@
   } node;
 
   struct Core {
-    bool plain = false;              // send no AVPs but those of RFC 6733 and RFC 8506
+    bool plain = false;              // send only AVPs of RFC 6733 and RFC 8506
     bool watchdog = false;           // send watchdog requests to core servers (theirs are always answered)
     double watchdog_s = 30;          // Tw
     double reconnect_s = 1;          // Tc
-    double connect_timeout_s = 0.5;  // for a connection and its CEA; also how long a set-up waits for one
-    double session_hold_s = 2;       // standing calls outlive their connection for so long
-    double linger_s = 30;            // how long the answer of a given-up attempt is still known
+    double connect_timeout_s = 0.5;  // for a connection and its CEA; also the time a set-up waits for them
+    double session_hold_s = 2;       // how long established calls outlive their connection
+    double linger_s = 30;            // how long a late answer to an abandoned attempt is still recognized
     std::uint32_t max_unsent = 1 << 20;  // bytes
   } core;
 
   struct Callers {
     std::vector<std::string> peers;  // Origin-Hosts; empty: any
-    bool plain = false;              // the same toward callers: a retry-after then stands in Error-Message
+    bool plain = false;              // the same toward callers; the retry-after is then sent in Error-Message
     double watchdog_s = 30;          // Tw
-    double cer_s = 5;                // for the CER of a new connection
-    double session_hold_s = 10;      // standing calls outlive their caller's connection for so long
+    double cer_timeout_s = 5;        // timeout for the CER of a new connection
+    double session_hold_s = 10;      // how long established calls outlive their caller's connection
     std::uint32_t max_connections = 10000;
     std::uint32_t max_unsent = 1 << 20;  // bytes
-    double end_wait_s = 2;               // for a core server's word that a call has ended
-    double duplicates_s = 30;            // how long an answer is kept for a repeated request
+    double end_wait_s = 2;               // how long to wait for a core server to confirm the end of a call
+    double duplicates_s = 30;            // how long an answer is kept for retransmitted requests
     std::uint32_t max_duplicates = 100000;
   } callers;
 
   struct List {
     net::Address server;
     std::string path = "/list";
-    std::string cache_file;       // empty: none
-    std::string store;            // SQLite; empty: none
-    bool store_power_cut = true;  // each change is on the disk when it counts as kept
+    std::string cache_file;                // empty: none
+    std::string store;                     // SQLite file; empty: none
+    bool store_survives_power_cut = true;  // a change counts as stored once it is synced to disk
     membership::TrustSettings trust;
     double reconnect_s = 1;
     double idle_s = 30;
@@ -61,7 +61,7 @@
 
   struct Fleet {
     net::Address listen;
-    std::vector<net::Address> peers;  // by number, the own one included
+    std::vector<net::Address> peers;  // by proxy number, including this proxy
   } fleet;
 
   struct Log {
@@ -69,22 +69,22 @@
     std::string file;  // empty: standard error
   } log;
 
-  std::uint32_t max_calls = 20000;  // open and standing, together
+  std::uint32_t max_calls = 20000;  // calls being set up and established calls, together
   std::uint32_t max_message = 65536;
-  std::uint64_t seed = 0;  // 0: drawn at start
+  std::uint64_t seed = 0;  // 0: random at each start
   ClassTable classes;
   std::map<std::string, Realms::Action> realms;
   Realms::Action other_realms = Realms::Action::kRefuse;
-  Settings settings;  // what the Controller is told
+  Settings settings;  // for the Controller
 };
 
-// The `rules` of a configuration, or of a scenario of the lab.
+// Reads the `rules` section of a configuration, or of a lab scenario.
 void read_rules(config::Section& from, Settings& out);
 
-// Reads and checks a file; throws config::Error with one line.
+// Reads and checks a file. Throws config::Error with a one-line message.
 Config load_config(const std::string& file);
 
-// Keys that differ between the two and can't be changed by a reload; empty: all can be.
+// The changed keys that a reload can't apply; empty if it can apply every change.
 std::vector<std::string> needs_restart(const Config& old_config, const Config& new_config);
 
 }  // namespace mintrock::edge
--- a/src/edge/credit_control.cpp
+++ b/src/edge/credit_control.cpp
@@ -17,14 +17,14 @@
 using diameter::Header;
 using diameter::MessageView;
 
-constexpr double kLongestMs = 4294967295.0;
+constexpr double kMaxMilliseconds = 4294967295.0;
 
-std::string text(const MessageView& message, const AvpDef& def) {
+std::string text_of(const MessageView& message, const AvpDef& def) {
   const AvpView* found = message.find(def.code, def.vendor);
   return found != nullptr ? std::string(found->data) : std::string();
 }
 
-std::optional<std::uint32_t> number(const MessageView& message, const AvpDef& def) {
+std::optional<std::uint32_t> number_of(const MessageView& message, const AvpDef& def) {
   const AvpView* found = message.find(def.code, def.vendor);
   return found != nullptr ? diameter::as_u32(*found) : std::nullopt;
 }
@@ -57,48 +57,49 @@
       .text(avp::kDestinationHost, server);
 }
 
-std::uint32_t milliseconds(double seconds) {
-  return static_cast<std::uint32_t>(std::clamp(std::ceil(seconds * 1000), 0.0, kLongestMs));
+std::uint32_t to_milliseconds(double seconds) {
+  return static_cast<std::uint32_t>(std::clamp(std::ceil(seconds * 1000), 0.0, kMaxMilliseconds));
 }
 
-// AVPs that are written anew, or that concern this hop alone; all others are passed on untouched.
-bool own(const AvpView& each) {
-  static const AvpDef* const kOwn[] = {
+// Whether the AVP is written by this node itself or concerns this hop alone. All others are forwarded
+// unchanged.
+bool is_hop_local(const AvpView& each) {
+  static const AvpDef* const kWritten[] = {
       &avp::kSessionId,         &avp::kOriginHost,       &avp::kOriginRealm,       &avp::kDestinationRealm,
       &avp::kAuthApplicationId, &avp::kServiceContextId, &avp::kCcRequestType,     &avp::kCcRequestNumber,
       &avp::kDestinationHost,   &avp::kCalledStationId,  &avp::kServiceIdentifier, &avp::kMaximumWaitTime,
       &avp::kLinesRequired,     &avp::kRedialIndicator};
-  return std::any_of(std::begin(kOwn), std::end(kOwn),
+  return std::any_of(std::begin(kWritten), std::end(kWritten),
                      [&](const AvpDef* def) { return def->code == each.code && def->vendor == each.vendor; });
 }
 
 }  // namespace
 
 std::uint32_t request_type(const MessageView& message) {
-  return number(message, avp::kCcRequestType).value_or(0);
+  return number_of(message, avp::kCcRequestType).value_or(0);
 }
-std::string session_of(const MessageView& message) { return text(message, avp::kSessionId); }
+std::string session_of(const MessageView& message) { return text_of(message, avp::kSessionId); }
 
 CallRecord read_setup(const MessageView& request, const std::string& from_peer) {
   CallRecord call;
   call.from_peer = from_peer;
   call.header = request.header;
   call.end_to_end = request.header.end_to_end;
-  call.session_id = text(request, avp::kSessionId);
-  call.origin_host = text(request, avp::kOriginHost);
-  call.origin_realm = text(request, avp::kOriginRealm);
-  call.destination_realm = text(request, avp::kDestinationRealm);
-  call.destination_host = text(request, avp::kDestinationHost);
-  call.service_context = text(request, avp::kServiceContextId);
-  call.called = text(request, avp::kCalledStationId);
-  call.service_identifier = number(request, avp::kServiceIdentifier);
-  call.max_wait_ms = number(request, avp::kMaximumWaitTime);
-  call.lines = number(request, avp::kLinesRequired).value_or(1);
-  call.redial = number(request, avp::kRedialIndicator).value_or(0);
-  call.request_number = number(request, avp::kCcRequestNumber).value_or(0);
+  call.session_id = text_of(request, avp::kSessionId);
+  call.origin_host = text_of(request, avp::kOriginHost);
+  call.origin_realm = text_of(request, avp::kOriginRealm);
+  call.destination_realm = text_of(request, avp::kDestinationRealm);
+  call.destination_host = text_of(request, avp::kDestinationHost);
+  call.service_context = text_of(request, avp::kServiceContextId);
+  call.called = text_of(request, avp::kCalledStationId);
+  call.service_identifier = number_of(request, avp::kServiceIdentifier);
+  call.max_wait_ms = number_of(request, avp::kMaximumWaitTime);
+  call.lines = number_of(request, avp::kLinesRequired).value_or(1);
+  call.redial = number_of(request, avp::kRedialIndicator).value_or(0);
+  call.request_number = number_of(request, avp::kCcRequestNumber).value_or(0);
   for (const AvpView& each : request.avps) {
     if (each.code == avp::kProxyInfo.code && each.vendor == 0) append_padded(call.proxy_info, each.whole);
-    if (!own(each)) append_padded(call.passed_on, each.whole);
+    if (!is_hop_local(each)) append_padded(call.forwarded_avps, each.whole);
   }
   return call;
 }
@@ -112,11 +113,11 @@
   if (!call.called.empty()) out.text(avp::kCalledStationId, call.called);
   if (call.service_identifier) out.u32(avp::kServiceIdentifier, *call.service_identifier);
   if (!plain) {
-    out.u32(avp::kMaximumWaitTime, milliseconds(give_up_after_s));
+    out.u32(avp::kMaximumWaitTime, to_milliseconds(give_up_after_s));
     if (call.lines != 1) out.u32(avp::kLinesRequired, call.lines);
     if (call.redial != 0) out.u32(avp::kRedialIndicator, call.redial);
   }
-  out.raw(call.passed_on).text(avp::kRouteRecord, call.from_peer);
+  out.raw(call.forwarded_avps).text(avp::kRouteRecord, call.from_peer);
   return out.finish();
 }
 
@@ -138,7 +139,7 @@
       .u32(avp::kAuthApplicationId, diameter::kApplicationCreditControl)
       .u32(avp::kCcRequestType, diameter::kInitial)
       .u32(avp::kCcRequestNumber, call.request_number);
-  if (answer.retry_after_s > 0) out.u32(avp::kRetryAfter, milliseconds(answer.retry_after_s));
+  if (answer.retry_after_s > 0) out.u32(avp::kRetryAfter, to_milliseconds(answer.retry_after_s));
   if (!answer.text.empty()) out.text(avp::kErrorMessage, answer.text);
   if (!answer.failed_avp.empty()) out.text(avp::kFailedAvp, answer.failed_avp);
   out.raw(call.proxy_info);
@@ -154,7 +155,7 @@
   if (request.header.command == diameter::kCreditControl) {
     out.u32(avp::kAuthApplicationId, diameter::kApplicationCreditControl)
         .u32(avp::kCcRequestType, request_type(request))
-        .u32(avp::kCcRequestNumber, number(request, avp::kCcRequestNumber).value_or(0));
+        .u32(avp::kCcRequestNumber, number_of(request, avp::kCcRequestNumber).value_or(0));
   }
   diameter::copy_proxy_info(request, out);
   return out.finish();
@@ -174,26 +175,26 @@
 
 CoreAnswer read_core_answer(const MessageView& answer) {
   CoreAnswer out;
-  out.result = number(answer, avp::kResultCode).value_or(0);
+  out.result = number_of(answer, avp::kResultCode).value_or(0);
   double wait_s = 0;
   if (const AvpView* group = answer.find(avp::kServerLoad.code, avp::kServerLoad.vendor)) {
     MessageView inner;
     if (!diameter::split_avps(group->data, inner.avps)) {
-      if (const auto ms = number(inner, avp::kProcessorWait)) out.report.wait_s = *ms / 1000.0;
-      if (const auto queue = number(inner, avp::kQueueLength)) out.report.queue = *queue;
-      if (const auto spare = number(inner, avp::kSpareLines)) out.report.spare = *spare;
-      if (const auto total = number(inner, avp::kTotalLines)) out.report.total = *total;
+      if (const auto ms = number_of(inner, avp::kProcessorWait)) out.report.wait_s = *ms / 1000.0;
+      if (const auto queue = number_of(inner, avp::kQueueLength)) out.report.queue = *queue;
+      if (const auto spare = number_of(inner, avp::kSpareLines)) out.report.spare = *spare;
+      if (const auto total = number_of(inner, avp::kTotalLines)) out.report.total = *total;
     }
   }
-  if (const auto ms = number(answer, avp::kRetryAfter)) wait_s = *ms / 1000.0;
+  if (const auto ms = number_of(answer, avp::kRetryAfter)) wait_s = *ms / 1000.0;
   for (const AvpView& each : answer.avps) {
     if (each.code != avp::kLoad.code || each.vendor != 0) continue;
     MessageView inner;
     if (diameter::split_avps(each.data, inner.avps)) continue;
     const AvpView* value = inner.find(avp::kLoadValue.code);
-    const auto type = number(inner, avp::kLoadType);
+    const auto type = number_of(inner, avp::kLoadType);
     const auto raw = value != nullptr ? diameter::as_u64(*value) : std::nullopt;
-    // RFC 8583 section 7.3: 0 to 65535, of HOST (0)
+    // RFC 8583 section 7.3: the value is 0 to 65535; only the load of type HOST (0) is used.
     if (raw && type.value_or(1) == 0) out.load = std::min(1.0, static_cast<double>(*raw) / 65535.0);
   }
   const ResultMeaning meaning = meaning_of(out.result);
@@ -202,29 +203,29 @@
   out.cause = meaning.cause;
   if (out.cause == Cause::kProcessorFull) out.advised_wait_s = wait_s;
   if (!out.established) {
-    out.failed_avp = text(answer, avp::kFailedAvp);
-    out.text = text(answer, avp::kErrorMessage);
+    out.failed_avp = text_of(answer, avp::kFailedAvp);
+    out.text = text_of(answer, avp::kErrorMessage);
   }
   return out;
 }
 
 void write_report(Builder& out, const Report& report) {
   if (!report.wait_s && !report.queue && !report.spare && !report.total) return;
-  const auto whole = [](double value) {
-    return static_cast<std::uint32_t>(std::clamp(value, 0.0, kLongestMs));
+  const auto rounded_down = [](double value) {
+    return static_cast<std::uint32_t>(std::clamp(value, 0.0, kMaxMilliseconds));
   };
   out.begin_group(avp::kServerLoad);
-  if (report.wait_s) out.u32(avp::kProcessorWait, whole(*report.wait_s * 1000));
-  if (report.queue) out.u32(avp::kQueueLength, whole(*report.queue));
-  if (report.spare) out.u32(avp::kSpareLines, whole(*report.spare));
-  if (report.total) out.u32(avp::kTotalLines, whole(*report.total));
+  if (report.wait_s) out.u32(avp::kProcessorWait, rounded_down(*report.wait_s * 1000));
+  if (report.queue) out.u32(avp::kQueueLength, rounded_down(*report.queue));
+  if (report.spare) out.u32(avp::kSpareLines, rounded_down(*report.spare));
+  if (report.total) out.u32(avp::kTotalLines, rounded_down(*report.total));
   out.end_group();
 }
 
-std::uint64_t key_of(std::string_view called) {
-  if (called.empty()) return 0;
-  const std::uint64_t key = XXH3_64bits(called.data(), called.size());
-  return key == 0 ? 1 : key;
+std::uint64_t stable_hash(std::string_view text) {
+  if (text.empty()) return 0;
+  const std::uint64_t hash = XXH3_64bits(text.data(), text.size());
+  return hash == 0 ? 1 : hash;
 }
 
 }  // namespace mintrock::edge
--- a/src/edge/diameter_front.cpp
+++ b/src/edge/diameter_front.cpp
@@ -12,7 +12,7 @@
 using diameter::Result;
 namespace {
 
-// The bytes that a view was decoded from.
+// The encoded message that a view was decoded from.
 std::string frame_of(const MessageView& view) {
   return std::string(view.avps.front().whole.data() - diameter::kHeaderSize, view.header.length);
 }
@@ -23,27 +23,27 @@
     net::Loop& loop, const diameter::LocalNode& local, const Config& config, std::uint64_t seed,
     Switchboard& board,
     std::function<bool(const std::shared_ptr<net::Stream>&, const MessageView&, std::string_view)>
-        core_connection,
+        offer_to_core_side,
     std::function<void(const std::string&, const char*, const std::string&)> event)
     : loop_(loop),
       local_(local),
       config_(config),
       seed_(seed),
-      board_(board),
-      core_connection_(std::move(core_connection)),
-      event_(std::move(event)),
+      switchboard_(board),
+      offer_to_core_side_(std::move(offer_to_core_side)),
+      log_connection_event_(std::move(event)),
       duplicates_(config.callers.max_duplicates, config.callers.duplicates_s),
-      endings_(config.max_calls, config.callers.end_wait_s) {
+      pending_ends_(config.max_calls, config.callers.end_wait_s) {
   listener_ = std::make_unique<net::Listener>(loop_, config_.node.listen,
-                                              [this](int fd, net::Address from) { accepted(fd, from); });
+                                              [this](int fd, net::Address from) { on_accepted(fd, from); });
 }
 
 DiameterFront::~DiameterFront() {
-  for (auto& [id, gate] : gates_) {
-    loop_.timers().cancel(gate->timer);
-    gate->stream->close();
+  for (auto& [id, pending] : pending_connections_) {
+    loop_.timers().cancel(pending->timer);
+    pending->stream->close();
   }
-  for (auto& [host, caller] : callers_) loop_.timers().cancel(caller->hold);
+  for (auto& [host, caller] : callers_) loop_.timers().cancel(caller->hold_timer);
   loop_.timers().cancel(ends_timer_);
 }
 
@@ -54,84 +54,86 @@
 
 // ---- Connections ----
 
-void DiameterFront::accepted(int fd, net::Address from) {
-  // Callers that came and went must not lock others out.
-  if (gates_.size() + callers_.size() >= config_.callers.max_connections) sweep();
-  if (stopping_ || gates_.size() + callers_.size() >= config_.callers.max_connections) {
-    counts_.rejected += 1;
+void DiameterFront::on_accepted(int fd, net::Address from) {
+  // Callers that have left must not keep others out.
+  if (pending_connections_.size() + callers_.size() >= config_.callers.max_connections) erase_idle_callers();
+  if (stopping_ || pending_connections_.size() + callers_.size() >= config_.callers.max_connections) {
+    counters_.rejected += 1;
     ::close(fd);
     return;
   }
-  counts_.connections += 1;
-  const std::uint64_t id = ++last_gate_;
-  auto gate = std::make_unique<Gate>(config_.max_message);
-  gate->stream = net::Stream::adopt(loop_, fd, from, config_.callers.max_unsent);
+  counters_.connections += 1;
+  const std::uint64_t id = ++last_pending_id_;
+  auto pending = std::make_unique<PendingConnection>(config_.max_message);
+  pending->stream = net::Stream::adopt(loop_, fd, from, config_.callers.max_unsent);
   net::Stream::Handlers handlers;
-  handlers.on_bytes = [this, id](std::string_view bytes) { gate_bytes(id, bytes); };
-  handlers.on_closed = [this, id](const std::string& why) { drop_gate(id, why); };
-  gate->stream->set(std::move(handlers));
-  gate->timer = loop_.after(config_.callers.cer_s, [this, id] { drop_gate(id, "no CER in time"); });
-  gates_[id] = std::move(gate);
+  handlers.on_bytes = [this, id](std::string_view bytes) { on_pending_bytes(id, bytes); };
+  handlers.on_closed = [this, id](const std::string& reason) { reject_pending(id, reason); };
+  pending->stream->set(std::move(handlers));
+  pending->timer =
+      loop_.after(config_.callers.cer_timeout_s, [this, id] { reject_pending(id, "no CER in time"); });
+  pending_connections_[id] = std::move(pending);
 }
 
-void DiameterFront::drop_gate(std::uint64_t id, const std::string& why) {
-  const auto found = gates_.find(id);
-  if (found == gates_.end()) return;
-  counts_.rejected += 1;
-  event_(found->second->stream->remote().str(), "rejected", why);
+void DiameterFront::reject_pending(std::uint64_t id, const std::string& reason) {
+  const auto found = pending_connections_.find(id);
+  if (found == pending_connections_.end()) return;
+  counters_.rejected += 1;
+  log_connection_event_(found->second->stream->remote().str(), "rejected", reason);
   loop_.timers().cancel(found->second->timer);
   found->second->stream->close_after_flush();
-  gates_.erase(found);
+  pending_connections_.erase(found);
 }
 
-void DiameterFront::gate_bytes(std::uint64_t id, std::string_view bytes) {
-  Gate& gate = *gates_.at(id);
-  gate.framer.feed(bytes);
+void DiameterFront::on_pending_bytes(std::uint64_t id, std::string_view bytes) {
+  PendingConnection& pending = *pending_connections_.at(id);
+  pending.framer.feed(bytes);
   std::string_view frame;
-  const auto status = gate.framer.next(frame);
+  const auto status = pending.framer.next(frame);
   if (status == diameter::Framer::Status::kNeedMore) return;
   MessageView view;
   std::optional<diameter::Fault> fault;
   if (status == diameter::Framer::Status::kFault) {
-    fault = gate.framer.fault();
-    view.header = gate.framer.header();
+    fault = pending.framer.fault();
+    view.header = pending.framer.header();
   } else {
     fault = decode(frame, view);
     if (!fault && (view.header.command != diameter::kCapabilitiesExchange || !view.header.request())) {
-      return drop_gate(id, "the first message is no CER");
+      return reject_pending(id, "the first message is not a CER");
     }
     if (!fault) fault = check(view);
   }
   if (fault) {
-    counts_.bad += 1;
+    counters_.malformed += 1;
     if (view.header.request()) {
-      gate.stream->write(error_answer(local_, view, fault->result_code, fault->failed_avp, fault->text));
+      pending.stream->write(error_answer(local_, view, fault->result_code, fault->failed_avp, fault->text));
     }
-    return drop_gate(id, fault->text);
+    return reject_pending(id, fault->text);
   }
-  const std::shared_ptr<net::Stream> stream = gate.stream;
-  const std::unique_ptr<Gate> keep = std::move(gates_.at(id));  // the CER's bytes are its framer's
-  gates_.erase(id);
+  const std::shared_ptr<net::Stream> stream = pending.stream;
+  // Kept until the end of this function: its framer holds the CER's bytes.
+  const std::unique_ptr<PendingConnection> keep = std::move(pending_connections_.at(id));
+  pending_connections_.erase(id);
   loop_.timers().cancel(keep->timer);
-  introduce(stream, view, keep->framer.rest());
+  assign_to_peer(stream, view, keep->framer.rest());
 }
 
-void DiameterFront::introduce(const std::shared_ptr<net::Stream>& stream, const MessageView& cer,
-                              std::string_view rest) {
-  if (core_connection_(stream, cer, rest)) return;
+void DiameterFront::assign_to_peer(const std::shared_ptr<net::Stream>& stream, const MessageView& cer,
+                                   std::string_view rest) {
+  if (offer_to_core_side_(stream, cer, rest)) return;
   const std::string host(cer.find(diameter::avp::kOriginHost.code)->data);
   const auto& listed = config_.callers.peers;
   if (!listed.empty() && std::find(listed.begin(), listed.end(), host) == listed.end()) {
-    counts_.rejected += 1;
-    event_(host, "rejected", "not among callers.peers");
+    counters_.rejected += 1;
+    log_connection_event_(host, "rejected", "not listed in callers.peers");
     stream->write(error_answer(local_, cer, diameter::kUnknownPeer, {}, "not a peer of this node"));
     stream->close_after_flush();
     return;
   }
-  if (!caller(host)->link->adopt(stream, cer, rest)) counts_.rejected += 1;
+  if (!find_or_add_caller(host)->link->adopt(stream, cer, rest)) counters_.rejected += 1;
 }
 
-DiameterFront::Caller* DiameterFront::caller(const std::string& host) {
+DiameterFront::Caller* DiameterFront::find_or_add_caller(const std::string& host) {
   std::unique_ptr<Caller>& slot = callers_[host];
   if (slot) return slot.get();
   slot = std::make_unique<Caller>();
@@ -144,53 +146,54 @@
   PeerLink::Handlers handlers;
   Caller& caller = *slot;
   handlers.on_up = [this, &caller] {
-    caller.gone = false;
-    loop_.timers().cancel(std::exchange(caller.hold, 0));
-    event_(caller.host, "up", "");
+    caller.disconnected = false;
+    loop_.timers().cancel(std::exchange(caller.hold_timer, 0));
+    log_connection_event_(caller.host, "up", "");
   };
-  handlers.on_down = [this, &caller](const std::string& why) { on_down(caller, why); };
+  handlers.on_down = [this, &caller](const std::string& reason) { on_down(caller, reason); };
   handlers.on_suspect = [this, &caller](bool suspect) {
-    event_(caller.host, suspect ? "suspect" : "usable", "");
+    log_connection_event_(caller.host, suspect ? "suspect" : "usable", "");
   };
   handlers.on_message = [this, &caller](const MessageView& view, bool reopening) {
     on_message(caller, view, reopening);
   };
   handlers.on_malformed = [this, &caller](const std::string& what) {
-    counts_.bad += 1;
-    event_(caller.host, "malformed", what);
+    counters_.malformed += 1;
+    log_connection_event_(caller.host, "malformed", what);
   };
-  slot->link = std::make_unique<PeerLink>(loop_, local_, settings, seed_ ^ key_of(host), std::nullopt,
+  slot->link = std::make_unique<PeerLink>(loop_, local_, settings, seed_ ^ stable_hash(host), std::nullopt,
                                           config_.callers.max_unsent, std::move(handlers));
   return slot.get();
 }
 
-// A caller's connection is lost: nobody can be told the answers that are still to come, so those calls are
-// over, and their set-ups are released. What stands waits a while for the caller to come back.
-void DiameterFront::on_down(Caller& caller, const std::string& why) {
-  event_(caller.host, "down", why);
-  end_calls(caller, true);
-  caller.gone = true;
-  loop_.timers().cancel(caller.hold);
-  caller.hold = loop_.after(config_.callers.session_hold_s, [this, &caller] {
-    caller.hold = 0;
-    if (caller.gone) end_calls(caller, false);
+// Handles the loss of a caller's connection. Answers that are still pending can no longer be delivered, so
+// their calls are ended and the set-ups released. Established calls are kept for a while in case the caller
+// reconnects.
+void DiameterFront::on_down(Caller& caller, const std::string& reason) {
+  log_connection_event_(caller.host, "down", reason);
+  hang_up_calls(caller, true);
+  caller.disconnected = true;
+  loop_.timers().cancel(caller.hold_timer);
+  caller.hold_timer = loop_.after(config_.callers.session_hold_s, [this, &caller] {
+    caller.hold_timer = 0;
+    if (caller.disconnected) hang_up_calls(caller, false);
   });
 }
 
-void DiameterFront::end_calls(Caller& caller, bool only_unanswered) {
-  std::vector<CallId> over;
+void DiameterFront::hang_up_calls(Caller& caller, bool only_unanswered) {
+  std::vector<CallId> ending;
   for (const CallId id : caller.calls) {
-    if (!only_unanswered || !open_.at(id).answered) over.push_back(id);
+    if (!only_unanswered || !calls_.at(id).answered) ending.push_back(id);
   }
-  for (const CallId id : over) board_.hang_up(id);
+  for (const CallId id : ending) switchboard_.hang_up(id);
 }
 
-// Callers that are gone and hold no calls leave nothing behind once there is no room for others. Not from
-// within one of their own callbacks.
-void DiameterFront::sweep() {
+// Erases disconnected callers without calls, to make room for others. Must not be called from a callback of a
+// caller's link, which it may destroy.
+void DiameterFront::erase_idle_callers() {
   for (auto at = callers_.begin(); at != callers_.end();) {
     const Caller& each = *at->second;
-    const bool idle = each.gone && each.hold == 0 && each.calls.empty() &&
+    const bool idle = each.disconnected && each.hold_timer == 0 && each.calls.empty() &&
                       each.link->peer().state() == diameter::Peer::State::kClosed;
     at = idle ? callers_.erase(at) : std::next(at);
   }
@@ -199,7 +202,7 @@
 // ---- Requests ----
 
 void DiameterFront::on_message(Caller& caller, const MessageView& view, bool reopening) {
-  if (!view.header.request()) return;  // ASA: the call is over already
+  if (!view.header.request()) return;  // an ASA: the call has ended already
   if (view.header.command != diameter::kCreditControl) {
     caller.link->send(error_answer(local_, view, diameter::kCommandUnsupported, {}, "not from callers"));
     return;
@@ -208,7 +211,7 @@
     case diameter::kInitial:
       return on_setup(caller, view, reopening);
     case diameter::kTermination:
-      return on_end(caller, view);
+      return on_termination(caller, view);
     default:
       caller.link->send(error_answer(local_, view, diameter::kInvalidAvpValue,
                                      view.find(diameter::avp::kCcRequestType.code)->whole,
@@ -220,189 +223,192 @@
   auto record = std::make_shared<CallRecord>(read_setup(view, caller.host));
   const auto* known = duplicates_.seen(record->origin_host, record->end_to_end, loop_.now());
   if (known != nullptr) {
-    counts_.duplicates += 1;
-    // Its one answer, again; with this request's hop-by-hop id. If there is none yet, it will come once.
+    counters_.duplicates += 1;
+    // A retransmitted request: resend its answer with the new hop-by-hop id. If there is no answer yet, it is
+    // sent once, with the hop-by-hop id of the latest request.
     if (!known->answer.empty()) {
-      std::string again = known->answer;
-      for (int i = 0; i < 4; ++i) again[12 + i] = static_cast<char>(view.header.hop_by_hop >> (24 - 8 * i));
-      caller.link->send(std::move(again));
-    } else if (const auto at = sessions_.find(record->session_id); at != sessions_.end()) {
-      auto moved = std::make_shared<CallRecord>(*open_.at(at->second).record);
-      moved->header.hop_by_hop = view.header.hop_by_hop;
-      open_.at(at->second).record = std::move(moved);
+      std::string resent = known->answer;
+      for (int i = 0; i < 4; ++i) resent[12 + i] = static_cast<char>(view.header.hop_by_hop >> (24 - 8 * i));
+      caller.link->send(std::move(resent));
+    } else if (const auto at = call_by_session_.find(record->session_id); at != call_by_session_.end()) {
+      auto updated = std::make_shared<CallRecord>(*calls_.at(at->second).record);
+      updated->header.hop_by_hop = view.header.hop_by_hop;
+      calls_.at(at->second).record = std::move(updated);
     }
     return;
   }
-  if (sessions_.count(record->session_id) != 0) {
+  if (call_by_session_.count(record->session_id) != 0) {
     caller.link->send(
         error_answer(local_, view, diameter::kUnableToComply, {}, "this session is a call already"));
     return;
   }
-  if (const auto fault = board_.refusal_of_setup(*record)) {
+  if (const auto fault = switchboard_.refusal_of_setup(*record)) {
     std::string bytes = error_answer(local_, view, fault->result_code, fault->failed_avp, fault->text);
     duplicates_.answered(record->origin_host, record->end_to_end, bytes);
     caller.link->send(std::move(bytes));
     return;
   }
-  // Entered before the offer: the answer may come at once.
-  const CallId id = board_.next_call();
-  open_[id] = {record, &caller, false, false};
-  sessions_[record->session_id] = id;
+  // Register the call before it is offered: the answer may come before offer() returns.
+  const CallId id = switchboard_.next_call();
+  calls_[id] = {record, &caller, false, false};
+  call_by_session_[record->session_id] = id;
   caller.calls.insert(id);
-  board_.offer(*this, id, record, reopening);
+  switchboard_.offer(*this, id, record, reopening);
 }
 
-void DiameterFront::on_end(Caller& caller, const MessageView& view) {
+void DiameterFront::on_termination(Caller& caller, const MessageView& view) {
   const std::string session = session_of(view);
-  EndRequest again{caller.host, frame_of(view), write_success(view, local_)};
-  if (endings_.repeated(session, again)) return;
-  const auto found = sessions_.find(session);
-  if (found != sessions_.end()) {
+  EndRequest end{caller.host, frame_of(view), write_success(view, local_)};
+  if (pending_ends_.repeated(session, end)) return;
+  const auto found = call_by_session_.find(session);
+  if (found != call_by_session_.end()) {
     const CallId id = found->second;
-    Open& open = open_.at(id);
-    if (!open.answered) {
-      // The caller takes its set-up back: its one answer is that it failed, by its own wish.
-      open.answered = true;
+    Call& call = calls_.at(id);
+    if (!call.answered) {
+      // The caller withdraws its set-up, which is answered as failed.
+      call.answered = true;
       SetupAnswer answer;
       answer.result = diameter::kUnableToComply;
       answer.origin_host = local_.host;
       answer.origin_realm = local_.realm;
       answer.text = "ended by the caller before it stood";
-      std::string bytes = write_setup_answer(*open.record, answer);
-      duplicates_.answered(open.record->origin_host, open.record->end_to_end, bytes);
-      open.caller->link->send(std::move(bytes));
+      std::string bytes = write_setup_answer(*call.record, answer);
+      duplicates_.answered(call.record->origin_host, call.record->end_to_end, bytes);
+      call.caller->link->send(std::move(bytes));
     }
-    if (board_.hang_up(id)) return await_end(caller, std::move(again), session, 1, true);
-    caller.link->send(std::move(again.success));
+    if (switchboard_.hang_up(id)) return await_confirmation(caller, std::move(end), session, 1, true);
+    caller.link->send(std::move(end.success));
     return;
   }
-  // Set up through another proxy, or through this one before it restarted: the caller says where it stands.
+  // The call was set up through another proxy, or through this one before a restart. The request names the
+  // core server that holds it.
   const CallRecord record = read_setup(view, caller.host);
-  if (const auto fault = board_.refusal_of_realm(record)) {
+  if (const auto fault = switchboard_.refusal_of_realm(record)) {
     caller.link->send(error_answer(local_, view, fault->result_code, fault->failed_avp, fault->text));
     return;
   }
-  if (endings_.full()) {
+  if (pending_ends_.full()) {
     caller.link->send(error_answer(local_, view, diameter::kTooBusy, {}, "too many ends under way"));
     return;
   }
-  if (const std::uint32_t asked = board_.pass_termination(record)) {
-    await_end(caller, std::move(again), session, asked, false);
+  if (const std::uint32_t asked = switchboard_.pass_termination(record)) {
+    await_confirmation(caller, std::move(end), session, asked, false);
   } else {
     caller.link->send(error_answer(local_, view, diameter::kUnknownSessionId, {}, "no such call"));
   }
 }
 
-void DiameterFront::await_end(Caller& caller, EndRequest request, const std::string& session,
-                              std::uint32_t servers, bool known) {
-  if (endings_.full()) {  // its release is on its way; that it arrives can't be vouched for
+void DiameterFront::await_confirmation(Caller& caller, EndRequest request, const std::string& session,
+                                       std::uint32_t servers, bool known) {
+  if (pending_ends_.full()) {  // the release is sent, but its confirmation can't be awaited
     caller.link->send(std::move(request.success));
     return;
   }
-  endings_.begin(session, std::move(request), servers, known, loop_.now());
-  watch_ends();
+  pending_ends_.begin(session, std::move(request), servers, known, loop_.now());
+  schedule_ends_timer();
 }
 
 void DiameterFront::released(const std::string& session, bool ended) {
-  const auto over = endings_.confirmed(session, ended);
-  if (!over) return;
-  if (over->ended) return send_to(over->request.peer, over->request.success);
-  answer_end(over->request, diameter::kUnknownSessionId, "no such call");
+  const auto completed = pending_ends_.confirmed(session, ended);
+  if (!completed) return;
+  if (completed->ended) return send_if_connected(completed->request.peer, completed->request.success);
+  answer_termination(completed->request, diameter::kUnknownSessionId, "no such call");
 }
 
-void DiameterFront::answer_end(const EndRequest& request, std::uint32_t result, const char* text) {
+void DiameterFront::answer_termination(const EndRequest& request, std::uint32_t result, const char* text) {
   MessageView view;
   if (decode(request.request, view)) return;
-  send_to(request.peer, error_answer(local_, view, result, {}, text));
+  send_if_connected(request.peer, error_answer(local_, view, result, {}, text));
 }
 
-// Its connection may be gone; then it will ask again.
-void DiameterFront::send_to(const std::string& peer, std::string bytes) {
+// Drops the message if the peer is not connected: it will send its request again.
+void DiameterFront::send_if_connected(const std::string& peer, std::string bytes) {
   const auto at = callers_.find(peer);
   if (at != callers_.end() && at->second->link->peer().open()) at->second->link->send(std::move(bytes));
 }
 
-// One timer for all ends: the oldest is due first.
-void DiameterFront::watch_ends() {
-  const double due = endings_.deadline();
+// One timer serves all pending ends: the oldest one is due first.
+void DiameterFront::schedule_ends_timer() {
+  const double due = pending_ends_.deadline();
   if (ends_timer_ != net::TimerId() || due > 1e15) return;
   ends_timer_ = loop_.timers().at(due, [this] {
     ends_timer_ = 0;
-    for (const EndRequest& each : endings_.overdue(loop_.now())) {
-      counts_.unconfirmed += 1;
-      answer_end(each, diameter::kUnableToDeliver, "the core server has not confirmed it: say it again");
+    for (const EndRequest& each : pending_ends_.overdue(loop_.now())) {
+      counters_.unconfirmed += 1;
+      answer_termination(each, diameter::kUnableToDeliver,
+                         "the core server has not confirmed it: say it again");
     }
-    watch_ends();
+    schedule_ends_timer();
   });
 }
 
-// ---- What became of a call ----
+// ---- Results of calls ----
 
-void DiameterFront::answer(CallId id, const Verdict& verdict) {
-  const auto found = open_.find(id);
-  if (found == open_.end() || found->second.answered) return;
-  Open& open = found->second;
-  open.answered = true;
+void DiameterFront::answer(CallId id, const Verdict& result) {
+  const auto found = calls_.find(id);
+  if (found == calls_.end() || found->second.answered) return;
+  Call& call = found->second;
+  call.answered = true;
   SetupAnswer answer;
   answer.origin_host = local_.host;
   answer.origin_realm = local_.realm;
-  switch (verdict.kind) {
+  switch (result.kind) {
     case Verdict::Kind::kStands:
-      open.stands = true;
+      call.established = true;
       answer.result = diameter::kSuccess;
-      answer.origin_host = board_.identity_of(verdict.server);
-      answer.origin_realm = open.record->destination_realm;
+      answer.origin_host = switchboard_.identity_of(result.server);
+      answer.origin_realm = call.record->destination_realm;
       break;
     case Verdict::Kind::kRefused:
       answer.result = diameter::kTooBusy;
-      answer.retry_after_s = verdict.retry_after_s;
-      answer.text = verdict.why;
+      answer.retry_after_s = result.retry_after_s;
+      answer.text = result.why;
       break;
     case Verdict::Kind::kRejected: {
-      const CoreAnswer& met = board_.rejection_of(id);
-      answer.result = met.result;
-      answer.origin_host = board_.identity_of(verdict.server);
-      answer.origin_realm = open.record->destination_realm;
-      answer.text = met.text;
-      answer.failed_avp = met.failed_avp;
+      const CoreAnswer& rejection = switchboard_.rejection_of(id);
+      answer.result = rejection.result;
+      answer.origin_host = switchboard_.identity_of(result.server);
+      answer.origin_realm = call.record->destination_realm;
+      answer.text = rejection.text;
+      answer.failed_avp = rejection.failed_avp;
       break;
     }
     case Verdict::Kind::kFailed:
       answer.result = diameter::kUnableToComply;
-      answer.text = verdict.why;
+      answer.text = result.why;
       break;
   }
   if (config_.callers.plain && answer.retry_after_s > 0) {
     answer.text += "; come back after " + std::to_string(std::lround(answer.retry_after_s * 1000)) + " ms";
     answer.retry_after_s = 0;
   }
-  std::string bytes = write_setup_answer(*open.record, answer);
-  duplicates_.answered(open.record->origin_host, open.record->end_to_end, bytes);
-  open.caller->link->send(std::move(bytes));
+  std::string bytes = write_setup_answer(*call.record, answer);
+  duplicates_.answered(call.record->origin_host, call.record->end_to_end, bytes);
+  call.caller->link->send(std::move(bytes));
 }
 
 void DiameterFront::cut(CallId id) {
-  const auto found = open_.find(id);
-  if (found == open_.end()) return;
+  const auto found = calls_.find(id);
+  if (found == calls_.end()) return;
   PeerLink& link = *found->second.caller->link;
   if (!link.peer().open()) return;
-  counts_.aborted += 1;
+  counters_.aborted += 1;
   diameter::Peer& peer = link.peer();
   const std::uint32_t hop = peer.next_hop_by_hop();
   link.send(write_abort(*found->second.record, local_, hop, peer.next_end_to_end()));
 }
 
 void DiameterFront::forget(CallId id) {
-  const auto found = open_.find(id);
-  if (found == open_.end()) return;
-  sessions_.erase(found->second.record->session_id);
+  const auto found = calls_.find(id);
+  if (found == calls_.end()) return;
+  call_by_session_.erase(found->second.record->session_id);
   found->second.caller->calls.erase(id);
-  open_.erase(found);
+  calls_.erase(found);
 }
 
 const CallRecord* DiameterFront::record(CallId id) const {
-  const auto found = open_.find(id);
-  return found == open_.end() ? nullptr : found->second.record.get();
+  const auto found = calls_.find(id);
+  return found == calls_.end() ? nullptr : found->second.record.get();
 }
 
 void DiameterFront::stop() {
--- a/src/edge/edge.cpp
+++ b/src/edge/edge.cpp
@@ -23,13 +23,13 @@
 using spdlog::level::info;
 using spdlog::level::warn;
 
-std::uint64_t draw_seed(std::uint64_t told) {
-  if (told != 0) return told;
+std::uint64_t draw_seed(std::uint64_t configured) {
+  if (configured != 0) return configured;
   std::random_device device;
   return std::uint64_t{device()} << 32 | device();
 }
 
-diameter::LocalNode make_local(const Config& config) {
+diameter::LocalNode make_local_node(const Config& config) {
   diameter::LocalNode local;
   local.host = config.node.identity;
   local.realm = config.node.realm;
@@ -45,47 +45,50 @@
       config_(std::move(config)),
       config_file_(std::move(config_file)),
       seed_(draw_seed(config_.seed)),
-      local_(make_local(config_)),
+      local_(make_local_node(config_)),
       realms_(config_.node.realm, config_.realms, config_.other_realms),
-      desk_(config_.settings, seed_, config_.max_calls, *this),
+      call_manager_(config_.settings, seed_, config_.max_calls, *this),
       core_(loop_, local_, config_, seed_ + 1, *this),
       front_(
           loop_, local_, config_, seed_ + 2, *this,
           [this](const std::shared_ptr<net::Stream>& stream, const diameter::MessageView& cer,
                  std::string_view rest) { return core_.offer_connection(stream, cer, rest); },
           [](const std::string& peer, const char* event, const std::string& detail) {
-            const bool bad = detail.size() > 0 && std::string(event) != "down";
-            log_event(bad ? warn : info, event, {{"side", "caller"}, {"peer", peer}, {"detail", detail}});
+            const bool problem = detail.size() > 0 && std::string(event) != "down";
+            log_event(problem ? warn : info, event, {{"side", "caller"}, {"peer", peer}, {"detail", detail}});
           }),
-      hearsay_out_(config_.settings.own_number, static_cast<std::uint64_t>(net::wall_now() * 1000)),
-      hearsay_in_(config_.settings.own_number, config_.settings.fleet_size) {
-  const auto count = [this](const char* name, const char* help,
-                            const std::map<std::string, std::string>& labels, const std::uint64_t& value) {
-    metrics_.counter(name, help, labels, [&value] { return static_cast<double>(value); });
+      gossip_writer_(config_.settings.own_number, static_cast<std::uint64_t>(net::wall_now() * 1000)),
+      gossip_reader_(config_.settings.own_number, config_.settings.fleet_size) {
+  const auto add_counter = [this](const char* name, const char* help,
+                                  const std::map<std::string, std::string>& labels,
+                                  const std::uint64_t& value) {
+    metrics_.add_counter(name, help, labels, [&value] { return static_cast<double>(value); });
   };
-  const DeskCounts& d = desk_.counts();
+  const DeskCounts& calls = call_manager_.counts();
   const char* const kCalls = "mintrock_calls_total";
   const char* const kCallsHelp = "Calls by what became of their set-up";
-  count("mintrock_calls_offered_total", "Calls that callers offered", {}, d.offered);
-  count(kCalls, kCallsHelp, {{"outcome", "stood"}}, d.stood);
-  count(kCalls, kCallsHelp, {{"outcome", "refused"}}, d.refused);
-  count(kCalls, kCallsHelp, {{"outcome", "failed"}}, d.failed);
-  count(kCalls, kCallsHelp, {{"outcome", "abandoned"}}, d.abandoned);
-  count("mintrock_calls_turned_away_total", "Of the refused: table full, or draining", {}, d.turned_away);
-  count("mintrock_calls_overdue_total", "Answered by the last guard at the caller's end; a fault", {},
-        d.overdue);
-  count("mintrock_calls_cut_total", "Standing calls ended by the core side", {}, d.cut);
-  count("mintrock_calls_ended_total", "Standing calls ended by their callers", {}, d.ended);
+  add_counter("mintrock_calls_offered_total", "Calls that callers offered", {}, calls.offered);
+  add_counter(kCalls, kCallsHelp, {{"outcome", "stood"}}, calls.stood);
+  add_counter(kCalls, kCallsHelp, {{"outcome", "refused"}}, calls.refused);
+  add_counter(kCalls, kCallsHelp, {{"outcome", "failed"}}, calls.failed);
+  add_counter(kCalls, kCallsHelp, {{"outcome", "abandoned"}}, calls.abandoned);
+  add_counter("mintrock_calls_turned_away_total", "Of the refused: table full, or draining", {},
+              calls.turned_away);
+  add_counter("mintrock_calls_overdue_total", "Answered by the last guard at the caller's end; a fault", {},
+              calls.overdue);
+  add_counter("mintrock_calls_cut_total", "Standing calls ended by the core side", {}, calls.cut);
+  add_counter("mintrock_calls_ended_total", "Standing calls ended by their callers", {}, calls.ended);
   const char* const kAttempts = "mintrock_attempts_ended_total";
-  count("mintrock_attempts_total", "Set-ups sent to core servers", {}, d.attempts);
-  count(kAttempts, "Attempts that ended in doubt", {{"how", "timed_out"}}, d.timed_out);
-  count(kAttempts, "Attempts that ended in doubt", {{"how", "cancelled"}}, d.cancelled);
-  const CoreCounts& c = core_.counts();
-  count("mintrock_core_answers_unexpected_total", "Answers to no request of ours", {}, c.unexpected);
-  count("mintrock_core_answers_late_total", "Answers of attempts given up", {}, c.late);
-  count("mintrock_core_late_stood_total", "Of those, calls that stood and were released", {}, c.late_stood);
-  count("mintrock_malformed_total", "Malformed messages", {{"side", "core"}}, c.bad);
-  metrics_.family(
+  add_counter("mintrock_attempts_total", "Set-ups sent to core servers", {}, calls.attempts);
+  add_counter(kAttempts, "Attempts that ended in doubt", {{"how", "timed_out"}}, calls.timed_out);
+  add_counter(kAttempts, "Attempts that ended in doubt", {{"how", "cancelled"}}, calls.cancelled);
+  const CoreCounts& core = core_.counts();
+  add_counter("mintrock_core_answers_unexpected_total", "Answers to no request of ours", {}, core.unexpected);
+  add_counter("mintrock_core_answers_late_total", "Answers of attempts given up", {}, core.late);
+  add_counter("mintrock_core_late_stood_total", "Of those, calls that stood and were released", {},
+              core.late_stood);
+  add_counter("mintrock_malformed_total", "Malformed messages", {{"side", "core"}}, core.bad);
+  metrics_.add_counter_family(
       "mintrock_core_answers_total", "Answers to set-ups, by core server and Result-Code", [this] {
         std::vector<std::pair<std::map<std::string, std::string>, double>> out;
         for (const CoreSide::View& each : core_.servers()) {
@@ -98,46 +101,47 @@
         return out;
       });
   const char* const kRefused = "mintrock_requests_refused_total";
-  count(kRefused, "Requests that are not served here", {{"why", "realm"}}, realm_refused_);
-  count(kRefused, "Requests that are not served here", {{"why", "class"}}, class_refused_);
-  count("mintrock_class_assumed_total", "Calls without a known class, taken as unknown_class", {},
-        class_assumed_);
-  count("mintrock_unknown_host_total", "Calls whose Destination-Host is not in the list", {}, unknown_host_);
-  const FrontCounts& f = front_.counts();
-  count("mintrock_ends_unconfirmed_total", "Ends of calls that no core server confirmed in time", {},
-        f.unconfirmed);
-  count("mintrock_malformed_total", "Malformed messages", {{"side", "caller"}}, f.bad);
-  count("mintrock_connections_total", "Callers' connections accepted", {}, f.connections);
-  count("mintrock_connections_rejected_total", "Callers' connections rejected", {}, f.rejected);
-  count("mintrock_duplicates_total", "Requests that came again", {}, f.duplicates);
-  metrics_.gauge("mintrock_ends_open", "Ends of calls that wait for a core server's word", {},
-                 [this] { return static_cast<double>(front_.ends_open()); });
-  metrics_.gauge("mintrock_calls_open", "Calls without an answer yet", {},
-                 [this] { return static_cast<double>(desk_.open()); });
-  metrics_.gauge("mintrock_calls_standing", "Calls that stand", {},
-                 [this] { return static_cast<double>(desk_.standing()); });
-  metrics_.gauge("mintrock_timers", "Timers set", {},
-                 [this] { return static_cast<double>(desk_.timers() + loop_.timers().size()); });
-  metrics_.gauge("mintrock_list_revision", "Revision of the pool list", {},
-                 [this] { return static_cast<double>(book_.revision()); });
-  metrics_.gauge("mintrock_callers_connected", "Callers with an open connection", {},
-                 [this] { return static_cast<double>(front_.open_peers()); });
+  add_counter(kRefused, "Requests that are not served here", {{"why", "realm"}}, realm_refused_);
+  add_counter(kRefused, "Requests that are not served here", {{"why", "class"}}, class_refused_);
+  add_counter("mintrock_class_assumed_total", "Calls without a known class, taken as unknown_class", {},
+              class_assumed_);
+  add_counter("mintrock_unknown_host_total", "Calls whose Destination-Host is not in the list", {},
+              unknown_host_);
+  const FrontCounters& front = front_.counters();
+  add_counter("mintrock_ends_unconfirmed_total", "Ends of calls that no core server confirmed in time", {},
+              front.unconfirmed);
+  add_counter("mintrock_malformed_total", "Malformed messages", {{"side", "caller"}}, front.malformed);
+  add_counter("mintrock_connections_total", "Callers' connections accepted", {}, front.connections);
+  add_counter("mintrock_connections_rejected_total", "Callers' connections rejected", {}, front.rejected);
+  add_counter("mintrock_duplicates_total", "Requests that came again", {}, front.duplicates);
+  metrics_.add_gauge("mintrock_ends_open", "Ends of calls that wait for a core server's word", {},
+                     [this] { return static_cast<double>(front_.ends_open()); });
+  metrics_.add_gauge("mintrock_calls_open", "Calls without an answer yet", {},
+                     [this] { return static_cast<double>(call_manager_.open()); });
+  metrics_.add_gauge("mintrock_calls_standing", "Calls that stand", {},
+                     [this] { return static_cast<double>(call_manager_.standing()); });
+  metrics_.add_gauge("mintrock_timers", "Timers set", {},
+                     [this] { return static_cast<double>(call_manager_.timers() + loop_.timers().size()); });
+  metrics_.add_gauge("mintrock_list_revision", "Revision of the pool list", {},
+                     [this] { return static_cast<double>(server_list_.revision()); });
+  metrics_.add_gauge("mintrock_callers_connected", "Callers with an open connection", {},
+                     [this] { return static_cast<double>(front_.open_peers()); });
 }
 
 Edge::~Edge() {
-  loop_.timers().cancel(desk_timer_);
+  loop_.timers().cancel(call_timer_);
   loop_.timers().cancel(drain_timer_);
   loop_.timers().cancel(confirm_timer_);
 }
 
 void Edge::start() {
-  admin_ = std::make_unique<Admin>(
+  admin_server_ = std::make_unique<AdminServer>(
       loop_, config_.node.admin,
-      std::map<std::string, Admin::Handler>{
+      std::map<std::string, AdminServer::Handler>{
           {"/healthz", [this] { return health(); }},
           {"/metrics",
            [this] {
-             return Admin::Response{200, "text/plain; version=0.0.4", metrics_.text()};
+             return AdminServer::Response{200, "text/plain; version=0.0.4", metrics_.serialize()};
            }},
           {"/calls", [this] { return calls(); }}});
   if (config_.settings.tells_peers) {
@@ -145,36 +149,37 @@
         loop_, config_.fleet.listen,
         [this](std::string_view bytes, net::Address from) { on_datagram(bytes, from); });
   }
-  list_ = std::make_unique<list::Client>(
+  list_client_ = std::make_unique<list::Client>(
       loop_, config_.list.server, config_.list.path, config_.list.reconnect_s, config_.list.idle_s, seed_ + 3,
-      list::Client::Handlers{[this](const list::SseEvent& event) { on_list(event); },
-                             [this](const std::string& why) {
-                               log_event(warn, "list_failed", {{"detail", why}});
-                               list_fresh_ = false;
+      list::Client::Handlers{[this](const list::SseEvent& event) { on_list_event(event); },
+                             [this](const std::string& reason) {
+                               log_event(warn, "list_failed", {{"detail", reason}});
+                               list_connected_ = false;
                                ServerList failed;
                                failed.mode = ServerList::Mode::kFailed;
-                               desk_.list(failed, loop_.now());
-                               watch_desk();
+                               call_manager_.list(failed, loop_.now());
+                               schedule_call_timer();
                              }});
-  if (!load_kept_list()) load_cached_list();
-  desk_.start(loop_.now());
-  watch_desk();
-  log_event(
-      info, "started",
-      {{"listen", front_.listening().str()}, {"admin", admin_->listening().str()}, {"node", local_.host}});
-}
-
-// The desk's timers ride on one timer of the loop.
-void Edge::watch_desk() {
-  const double due = desk_.deadline();
-  if (desk_timer_ != 0 && desk_timer_at_ <= due) return;
-  loop_.timers().cancel(std::exchange(desk_timer_, 0));
+  if (!load_stored_list()) load_cached_list();
+  call_manager_.start(loop_.now());
+  schedule_call_timer();
+  log_event(info, "started",
+            {{"listen", front_.listening().str()},
+             {"admin", admin_server_->listening().str()},
+             {"node", local_.host}});
+}
+
+// One timer of the event loop serves all timers of the call manager.
+void Edge::schedule_call_timer() {
+  const double due = call_manager_.deadline();
+  if (call_timer_ != 0 && call_timer_at_ <= due) return;
+  loop_.timers().cancel(std::exchange(call_timer_, 0));
   if (due == std::numeric_limits<double>::infinity()) return;
-  desk_timer_at_ = due;
-  desk_timer_ = loop_.timers().at(due, [this] {
-    desk_timer_ = 0;
-    desk_.tick(loop_.now());
-    watch_desk();
+  call_timer_at_ = due;
+  call_timer_ = loop_.timers().at(due, [this] {
+    call_timer_ = 0;
+    call_manager_.tick(loop_.now());
+    schedule_call_timer();
   });
 }
 
@@ -183,22 +188,22 @@
 void Edge::offer(Front& front, CallId id, RecordPtr record, bool peer_on_trial) {
   Offer offer;
   offer.peer_on_trial = peer_on_trial;
-  const ClassOf kind = class_of(config_.classes, *record);
-  class_assumed_ += kind.assumed;
-  offer.call_class = kind.place;
+  const ClassOf classified = class_of(config_.classes, *record);
+  class_assumed_ += classified.assumed;
+  offer.call_class = classified.place;
   const double deadline = config_.settings.classes[offer.call_class].deadline_s;
   offer.ttl_s = record->max_wait_ms ? std::min(deadline, *record->max_wait_ms / 1000.0) : deadline;
-  offer.key = key_of(record->called);
+  offer.key = stable_hash(record->called);
   offer.lines = record->lines;
-  if (const list::Entry* entry = book_.find(book_.number(record->destination_host)))
+  if (const list::Entry* entry = server_list_.find(server_list_.number(record->destination_host)))
     offer.first_choice = entry->node;
   else if (!record->destination_host.empty())
-    unknown_host_ += 1;  // a first choice is a wish: the call goes wherever there is room
+    unknown_host_ += 1;  // the first choice is only a preference: another server may take the call
   offer.redialled = record->redial == 1;
   offer.was_cut = record->redial == 2;
   calls_[id] = {&front, std::move(record), loop_.now(), nullptr};
-  desk_.offer(id, offer, loop_.now());
-  watch_desk();
+  call_manager_.offer(id, offer, loop_.now());
+  schedule_call_timer();
 }
 
 std::optional<diameter::Fault> Edge::refusal_of_realm(const CallRecord& record) {
@@ -216,8 +221,8 @@
 
 bool Edge::hang_up(CallId call) {
   release_sent_ = false;
-  desk_.hang_up(call, loop_.now());
-  watch_desk();
+  call_manager_.hang_up(call, loop_.now());
+  schedule_call_timer();
   return std::exchange(release_sent_, false);
 }
 
@@ -233,21 +238,22 @@
 
 const std::string& Edge::identity_of(ServerId server) {
   static const std::string kUnknown = "unknown";
-  const list::Entry* entry = book_.find(server);
+  const list::Entry* entry = server_list_.find(server);
   return entry != nullptr ? entry->identity : kUnknown;
 }
 
-// ---- What the desk asks for ----
+// ---- Requests of the call manager ----
 
-void Edge::answer(CallId call, const Verdict& verdict) {
+void Edge::answer(CallId call, const Verdict& result) {
   const auto found = calls_.find(call);
   if (found == calls_.end()) return;
-  if (std::string_view(verdict.why) == "overdue") {
+  if (std::string_view(result.why) == "overdue") {
     log_event(err, "overdue", {{"session", found->second.record->session_id}});
   }
-  log_event(debug, "answered", {{"session", found->second.record->session_id}, {"detail", verdict.why}});
-  if (verdict.kind == Verdict::Kind::kStands) metrics_.setup_delay(loop_.now() - found->second.offered);
-  found->second.front->answer(call, verdict);
+  log_event(debug, "answered", {{"session", found->second.record->session_id}, {"detail", result.why}});
+  if (result.kind == Verdict::Kind::kStands)
+    metrics_.observe_setup_delay(loop_.now() - found->second.offered_at);
+  found->second.front->answer(call, result);
 }
 
 void Edge::cut(CallId call) {
@@ -274,21 +280,21 @@
   if (core_.release(call, attempt, server, found->second.record)) release_sent_ = true;
 }
 
-void Edge::subscribe() { list_->open(); }
+void Edge::subscribe() { list_client_->open(); }
 
-void Edge::tell_peer(std::uint32_t peer, const std::vector<Hearsay>& hearsay) {
+void Edge::tell_peer(std::uint32_t peer, const std::vector<Hearsay>& entries) {
   if (!datagrams_ || peer >= config_.fleet.peers.size()) return;
-  datagrams_->send(hearsay_out_.pack(hearsay, [this](ServerId id) { return identity_of(id); }),
+  datagrams_->send(gossip_writer_.pack(entries, [this](ServerId id) { return identity_of(id); }),
                    config_.fleet.peers[peer]);
 }
 
 void Edge::log(const std::string& text) { log_event(info, "decision", {{"detail", text}}); }
 
-// ---- What the core side tells ----
+// ---- Events of the core side ----
 
 void Edge::core_stood(CallId call, std::uint32_t attempt, const CoreAnswer& answer) {
-  desk_.stood(call, attempt, answer.report, loop_.now());
-  watch_desk();
+  call_manager_.stood(call, attempt, answer.report, loop_.now());
+  schedule_call_timer();
 }
 
 void Edge::core_ended(CallId call, std::uint32_t attempt, const CoreAnswer& answer) {
@@ -296,13 +302,14 @@
     const auto found = calls_.find(call);
     if (found != calls_.end()) found->second.rejection = std::make_unique<const CoreAnswer>(answer);
   }
-  desk_.ended(call, attempt, answer.outcome, answer.cause, answer.advised_wait_s, answer.report, loop_.now());
-  watch_desk();
+  call_manager_.ended(call, attempt, answer.outcome, answer.cause, answer.advised_wait_s, answer.report,
+                      loop_.now());
+  schedule_call_timer();
 }
 
 void Edge::core_load(ServerId server, const CoreAnswer& answer) {
-  desk_.load(server, answer.report, loop_.now());
-  watch_desk();
+  call_manager_.load(server, answer.report, loop_.now());
+  schedule_call_timer();
 }
 
 void Edge::core_released(const std::string& session, bool ended) { front_.released(session, ended); }
@@ -318,13 +325,13 @@
 
 void Edge::core_event(const std::string& server, const char* event, const std::string& detail) {
   const std::string_view name(event);
-  const bool bad = name != "up" && name != "usable";
-  log_event(bad ? warn : info, event, {{"side", "core"}, {"peer", server}, {"detail", detail}});
+  const bool problem = name != "up" && name != "usable";
+  log_event(problem ? warn : info, event, {{"side", "core"}, {"peer", server}, {"detail", detail}});
 }
 
-// ---- The pool list ----
+// ---- The server list ----
 
-void Edge::on_list(const list::SseEvent& event) {
+void Edge::on_list_event(const list::SseEvent& event) {
   list::News news;
   try {
     news = list::parse_news(event.data);
@@ -333,27 +340,27 @@
     return;
   }
   for (const std::string& fault : news.faults) log_event(warn, "list_entry_malformed", {{"detail", fault}});
-  if (!book_.take(news)) return;
-  list_fresh_ = true;
+  if (!server_list_.take(news)) return;
+  list_connected_ = true;
   const double now = loop_.now();
   log_event(info, "list", {{"revision", std::to_string(news.revision)}});
-  // Told to the Controller first: what is drained must be known before anything that waits is looked at
-  // again.
-  desk_.list(
-      book_.event(news, news.full ? ServerList::Mode::kFull : ServerList::Mode::kDelta, now, net::wall_now()),
-      now);
-  for (const auto& [id, entry] : book_.entries()) core_.update(id, entry);
-  watch_desk();
-  keep_list(news);
-  save_list();
+  // Update the Controller first: it must know which servers drain before the core side looks again at the
+  // set-ups that wait for a connection.
+  call_manager_.list(server_list_.event(news, news.full ? ServerList::Mode::kFull : ServerList::Mode::kDelta,
+                                        now, net::wall_now()),
+                     now);
+  for (const auto& [id, entry] : server_list_.entries()) core_.update(id, entry);
+  schedule_call_timer();
+  store_list(news);
+  save_cached_list();
 }
 
-// ---- The kept list ----
+// ---- The stored list ----
 
 namespace {
 
-membership::Moment moment(double monotonic) {
-  static const std::string kBoot = [] {  // read once: it can't change while this process lives
+membership::Moment moment_at(double monotonic) {
+  static const std::string kBoot = [] {  // read once: it can't change while this process runs
     std::ifstream in("/proc/sys/kernel/random/boot_id");
     std::string boot;
     std::getline(in, boot);
@@ -362,7 +369,7 @@
   return {net::wall_now(), monotonic, kBoot};
 }
 
-membership::KeptEntry kept_entry(const list::Entry& entry, double wall) {
+membership::KeptEntry to_stored_entry(const list::Entry& entry, double wall) {
   membership::KeptEntry out;
   out.identity = entry.identity;
   out.address = entry.address;
@@ -377,93 +384,95 @@
 
 }  // namespace
 
-bool Edge::load_kept_list() {
+bool Edge::load_stored_list() {
   if (config_.list.store.empty()) return false;
   try {
-    keeper_ = std::make_unique<membership::Keeper>(
+    list_store_ = std::make_unique<membership::Keeper>(
         config_.list.store,
-        config_.list.store_power_cut ? membership::Store::Durability::kPowerCut
-                                     : membership::Store::Durability::kProcessCrash,
+        config_.list.store_survives_power_cut ? membership::Store::Durability::kPowerCut
+                                              : membership::Store::Durability::kProcessCrash,
         [this](const std::string& what) {
           const std::lock_guard<std::mutex> lock(store_faults_mutex_);
           store_faults_.push_back(what);
         });
   } catch (const std::exception& error) {
-    // Without it the proxy starts as one that has no store: from the list, once it comes.
+    // Start as a proxy without a store, which waits for the list server.
     log_event(err, "list_store_unusable", {{"detail", error.what()}});
     return false;
   }
-  tell_store_faults();
-  confirm_list();
-  const membership::Loaded& loaded = keeper_->loaded();
+  log_store_faults();
+  schedule_list_confirmation();
+  const membership::Loaded& loaded = list_store_->loaded();
   if (loaded.entries.empty()) return false;
   const double now = loop_.now();
-  const membership::Moment here = moment(now);
-  const membership::Moment then{loaded.wall, loaded.monotonic, loaded.boot};
-  list::News news;  // revision 0: whatever comes next is news, the list may have begun anew
+  const membership::Moment current = moment_at(now);
+  const membership::Moment stored{loaded.wall, loaded.monotonic, loaded.boot};
+  // Revision 0, so that any later update is accepted: the list server may have restarted its revisions.
+  list::News news;
   for (const membership::KeptEntry& each : loaded.entries) {
     news.entries.push_back(
         {each.identity, each.address, each.node, each.kind, each.weight, each.state, each.started_at});
   }
-  book_.take(news);
-  ServerList told = book_.event(news, ServerList::Mode::kCached, now, here.wall);
+  server_list_.take(news);
+  ServerList cached = server_list_.event(news, ServerList::Mode::kCached, now, current.wall);
   std::vector<membership::Kept> kept;
   for (std::size_t i = 0; i < loaded.entries.size(); ++i) {
-    const membership::Age age = membership::age_of(loaded.entries[i].last_confirmed, then, here);
+    const membership::Age age = membership::age_of(loaded.entries[i].last_confirmed, stored, current);
     membership::Evidence evidence;
     evidence.confirmed_age_s = age.seconds;
-    evidence.clock_doubtful = age.doubtful || !loaded.whole;  // what was damaged may have been the age
+    evidence.clock_doubtful = age.doubtful || !loaded.whole;  // the damaged part may have held the age
     evidence.source = loaded.entries[i].source;
-    const auto entry = std::find_if(told.entries.begin(), told.entries.end(), [&](const ServerEntry& each) {
-      return each.id == book_.number(loaded.entries[i].identity);
-    });
-    if (entry == told.entries.end()) continue;
+    const auto entry = std::find_if(
+        cached.entries.begin(), cached.entries.end(),
+        [&](const ServerEntry& each) { return each.id == server_list_.number(loaded.entries[i].identity); });
+    if (entry == cached.entries.end()) continue;
     kept.push_back({*entry, membership::judge(config_.list.trust, evidence)});
     log_event(info, "list_kept",
               {{"peer", loaded.entries[i].identity},
                {"trust", std::to_string(kept.back().trust.degree)},
                {"detail", kept.back().trust.why}});
   }
-  told.entries = membership::tell(kept, now);
-  desk_.list(told, now);
-  for (const ServerEntry& each : told.entries) core_.update(each.id, *book_.find(each.id));
+  cached.entries = membership::tell(kept, now);
+  call_manager_.list(cached, now);
+  for (const ServerEntry& each : cached.entries) core_.update(each.id, *server_list_.find(each.id));
   return true;
 }
 
-void Edge::keep_list(const list::News& news) {
-  if (!keeper_) return;
-  const membership::Moment here = moment(loop_.now());
+void Edge::store_list(const list::News& news) {
+  if (!list_store_) return;
+  const membership::Moment current = moment_at(loop_.now());
   membership::Change change;
   change.revision = news.revision;
-  change.wall = here.wall;
-  change.monotonic = here.monotonic;
-  change.boot = here.boot;
+  change.wall = current.wall;
+  change.monotonic = current.monotonic;
+  change.boot = current.boot;
   change.full = news.full;
   for (const list::Entry& each : news.entries) {
     if (each.state == ServerEntry::State::kGone) {
       change.removed.push_back(each.identity);
     } else {
-      change.entries.push_back(kept_entry(each, here.wall));
+      change.entries.push_back(to_stored_entry(each, current.wall));
     }
   }
-  keeper_->keep(std::move(change));
+  list_store_->keep(std::move(change));
 }
 
-// A list that is connected and silent is confirmed all the same: its entries don't age meanwhile.
-void Edge::confirm_list() {
-  constexpr double kConfirmEvery = 30;  // s; a kept list seems older by this at most
-  confirm_timer_ = loop_.after(kConfirmEvery, [this] {
-    tell_store_faults();
-    if (list_fresh_) {
-      list::News all = book_.snapshot();
+// Confirms the stored entries at intervals while the list server is connected, even if it sends no updates,
+// so that they don't age meanwhile.
+void Edge::schedule_list_confirmation() {
+  constexpr double kConfirmInterval = 30;  // s; a stored list seems older than it is by at most this
+  confirm_timer_ = loop_.after(kConfirmInterval, [this] {
+    log_store_faults();
+    if (list_connected_) {
+      list::News all = server_list_.snapshot();
       all.full = true;
-      keep_list(all);
+      store_list(all);
     }
-    confirm_list();
+    schedule_list_confirmation();
   });
 }
 
-void Edge::tell_store_faults() {
+void Edge::log_store_faults() {
   std::vector<std::string> faults;
   {
     const std::lock_guard<std::mutex> lock(store_faults_mutex_);
@@ -480,29 +489,30 @@
   text << in.rdbuf();
   try {
     list::News news = list::parse_news(text.str());
-    // Whatever comes next is news, be its revision lower or not: the list may have begun anew.
+    // Any later update is accepted, even with a lower revision: the list server may have restarted its
+    // revisions.
     news.revision = 0;
-    book_.take(news);
+    server_list_.take(news);
     const double now = loop_.now();
-    desk_.list(book_.event(news, ServerList::Mode::kCached, now, net::wall_now()), now);
-    for (const auto& [id, entry] : book_.entries()) core_.update(id, entry);
+    call_manager_.list(server_list_.event(news, ServerList::Mode::kCached, now, net::wall_now()), now);
+    for (const auto& [id, entry] : server_list_.entries()) core_.update(id, entry);
     log_event(info, "list_cached", {{"detail", std::to_string(news.entries.size()) + " servers"}});
   } catch (const std::exception& error) {
     log_event(warn, "list_cache_malformed", {{"detail", config_.list.cache_file + ": " + error.what()}});
   }
 }
 
-// At most once a second, by a new file that takes the old one's place whole.
-void Edge::save_list() {
-  if (config_.list.cache_file.empty() || save_pending_) return;
-  save_pending_ = true;
+// Writes the cache file at most once a second, by renaming a complete new file over the old one.
+void Edge::save_cached_list() {
+  if (config_.list.cache_file.empty() || cache_write_pending_) return;
+  cache_write_pending_ = true;
   loop_.after(1.0, [this] {
-    save_pending_ = false;
-    const std::string fresh = config_.list.cache_file + ".new";
-    std::ofstream out(fresh, std::ios::trunc);
-    out << list::print_news(book_.snapshot());
+    cache_write_pending_ = false;
+    const std::string temporary = config_.list.cache_file + ".new";
+    std::ofstream out(temporary, std::ios::trunc);
+    out << list::print_news(server_list_.snapshot());
     out.close();
-    if (!out || std::rename(fresh.c_str(), config_.list.cache_file.c_str()) != 0) {
+    if (!out || std::rename(temporary.c_str(), config_.list.cache_file.c_str()) != 0) {
       log_event(warn, "list_cache_not_written", {{"detail", config_.list.cache_file}});
     }
   });
@@ -513,69 +523,70 @@
 void Edge::on_datagram(std::string_view bytes, net::Address from) {
   const auto& peers = config_.fleet.peers;
   const auto found = std::find(peers.begin(), peers.end(), from);
-  std::string why = "from an address of no proxy";
+  std::string reason = "the sender is not a listed proxy";
   std::optional<PeerNews> news;
   if (found != peers.end()) {
-    news = hearsay_in_.read(
+    news = gossip_reader_.read(
         bytes, static_cast<std::uint32_t>(found - peers.begin()),
-        [this](const std::string& identity) { return book_.number(identity); }, why);
+        [this](const std::string& identity) { return server_list_.number(identity); }, reason);
   }
   if (!news) {
-    log_event(debug, "hearsay_dropped", {{"peer", from.str()}, {"detail", why}});
+    log_event(debug, "hearsay_dropped", {{"peer", from.str()}, {"detail", reason}});
     return;
   }
-  desk_.peer_news(*news, loop_.now());
-  watch_desk();
+  call_manager_.peer_news(*news, loop_.now());
+  schedule_call_timer();
 }
 
 // ---- Operators ----
 
 void Edge::reload() {
-  Config fresh;
+  Config reloaded;
   try {
-    fresh = load_config(config_file_);
+    reloaded = load_config(config_file_);
   } catch (const std::exception& error) {
     log_event(err, "reload_failed", {{"detail", error.what()}});
     return;
   }
-  for (const std::string& key : needs_restart(config_, fresh)) {
+  for (const std::string& key : needs_restart(config_, reloaded)) {
     log_event(warn, "reload_needs_restart", {{"detail", key}});
   }
-  config_.log.level = fresh.log.level;
-  config_.callers = fresh.callers;
-  config_.max_calls = fresh.max_calls;
+  config_.log.level = reloaded.log.level;
+  config_.callers = reloaded.callers;
+  config_.max_calls = reloaded.max_calls;
   set_log_level(config_.log.level);
-  desk_.set_max_calls(config_.max_calls);
+  call_manager_.set_max_calls(config_.max_calls);
   log_event(info, "reloaded", {});
 }
 
 void Edge::drain() {
   if (draining_) return;
   draining_ = true;
-  log_event(info, "draining", {{"open", std::to_string(desk_.open())}});
-  desk_.drain();
+  log_event(info, "draining", {{"open", std::to_string(call_manager_.open())}});
+  call_manager_.drain();
   front_.stop_listening();
-  double longest = 0;
-  for (const auto& each : config_.settings.classes) longest = std::max(longest, each.deadline_s);
-  drain_until_ = loop_.now() + longest + 1;
-  drained();
-}
-
-// Answers first, then the peers are told, then the end.
-void Edge::drained() {
-  constexpr double kLook = 0.05;      // s
-  constexpr double kDprAnswers = 11;  // s; a peer's own time-out for the DPA is 10 s
-  const bool over = loop_.now() >= drain_until_;
-  if (!stopping_ && (desk_.open() == 0 || over)) {
+  double max_deadline_s = 0;
+  for (const auto& each : config_.settings.classes)
+    max_deadline_s = std::max(max_deadline_s, each.deadline_s);
+  drain_deadline_ = loop_.now() + max_deadline_s + 1;
+  check_drained();
+}
+
+// Waits for the pending answers, then disconnects the peers, then stops the loop.
+void Edge::check_drained() {
+  constexpr double kCheckInterval = 0.05;  // s
+  constexpr double kDpaTimeout = 11;  // s; longer than the 10 s that a peer state machine waits for its DPA
+  const bool timed_out = loop_.now() >= drain_deadline_;
+  if (!stopping_ && (call_manager_.open() == 0 || timed_out)) {
     stopping_ = true;
-    drain_until_ = loop_.now() + kDprAnswers;
+    drain_deadline_ = loop_.now() + kDpaTimeout;
     front_.stop();
     core_.stop();
-  } else if (stopping_ && ((front_.closed() && core_.closed()) || over)) {
+  } else if (stopping_ && ((front_.closed() && core_.closed()) || timed_out)) {
     log_event(info, "stopped", {});
     return loop_.stop();
   }
-  drain_timer_ = loop_.after(kLook, [this] { drained(); });
+  drain_timer_ = loop_.after(kCheckInterval, [this] { check_drained(); });
 }
 
 std::string Edge::core_state(const std::string& identity) const {
@@ -585,7 +596,7 @@
   return "";
 }
 
-Admin::Response Edge::health() const {
+AdminServer::Response Edge::health() const {
   std::size_t open = 0;
   std::size_t errors_only = 0;
   nlohmann::ordered_json servers = nlohmann::ordered_json::array();
@@ -604,21 +615,21 @@
     }
     errors_only += each.answers->errors_only();
   }
-  const char* state = draining_         ? "draining"
-                      : open == 0       ? "no core server"
-                      : !list_fresh_    ? "list lost"
-                      : errors_only > 0 ? "a core server answers only errors"
-                                        : "ok";
+  const char* state = draining_          ? "draining"
+                      : open == 0        ? "no core server"
+                      : !list_connected_ ? "list lost"
+                      : errors_only > 0  ? "a core server answers only errors"
+                                         : "ok";
   const nlohmann::ordered_json json{
-      {"state", state}, {"list_revision", book_.revision()}, {"servers", servers}};
+      {"state", state}, {"list_revision", server_list_.revision()}, {"servers", servers}};
   return {draining_ || open == 0 ? 503 : 200, "application/json", json.dump(2) + "\n"};
 }
 
-Admin::Response Edge::calls() const {
+AdminServer::Response Edge::calls() const {
   static const char* const kStates[] = {"deciding", "out", "stands"};
   const double now = loop_.now();
   nlohmann::ordered_json all = nlohmann::ordered_json::array();
-  for (const CallDesk::View& each : desk_.calls()) {
+  for (const CallDesk::View& each : call_manager_.calls()) {
     const auto entry = calls_.find(each.call);
     nlohmann::ordered_json json{{"call", each.call}, {"state", kStates[static_cast<int>(each.state)]}};
     if (entry != calls_.end()) {
@@ -626,7 +637,7 @@
       json["caller"] = entry->second.record->origin_host;
       json["called"] = entry->second.record->called;
     }
-    const list::Entry* server = book_.find(each.server);
+    const list::Entry* server = server_list_.find(each.server);
     if (server != nullptr) json["server"] = server->identity;
     json["attempts"] = each.attempts;
     json["age_s"] = now - each.since;
--- a/src/edge/edge.hpp
+++ b/src/edge/edge.hpp
@@ -1,6 +1,7 @@
-// The edge proxy: joins fronts, desk, core side, pool list and the other proxies on one loop.
+// The edge proxy: connects the front, the call manager, the core side, the server list and the other proxies
+// on one event loop.
 //
-// Nothing is decided here: events go to the desk, and what it asks for is carried out.
+// This class makes no decisions: it passes events to the call manager and carries out the manager's requests.
 #ifndef MINTROCK_SRC_EDGE_EDGE_HPP_
 #define MINTROCK_SRC_EDGE_EDGE_HPP_
 
@@ -31,35 +32,37 @@
   ~Edge() override;
 
   void start();
-  void reload();  // SIGHUP: what can change safely
+  void reload();  // SIGHUP: applies the settings that can change at run time
   net::Address callers_address() const { return front_.listening(); }
-  net::Address admin_address() const { return admin_->listening(); }
-  const DeskCounts& desk_counts() const { return desk_.counts(); }
-  const CoreCounts& core_counts() const { return core_.counts(); }
-  // The state of a core server's peer machine, by its name; empty: not known.
+  net::Address admin_address() const { return admin_server_->listening(); }
+  const DeskCounts& call_counters() const { return call_manager_.counts(); }
+  const CoreCounts& core_counters() const { return core_.counts(); }
+  // The state of the Diameter peer state machine of the core server with this identity; empty: unknown
+  // server.
   std::string core_state(const std::string& identity) const;
-  std::uint64_t list_revision() const { return book_.revision(); }
-  std::size_t callers_connected() const { return front_.open_peers(); }
-  std::size_t open_calls() const { return desk_.open(); }
-  std::size_t standing_calls() const { return desk_.standing(); }
-  void drain();  // SIGTERM: no new calls, answers awaited, DPR, then the loop is stopped
+  std::uint64_t list_revision() const { return server_list_.revision(); }
+  std::size_t connected_callers() const { return front_.open_peers(); }
+  std::size_t open_calls() const { return call_manager_.open(); }
+  std::size_t established_calls() const { return call_manager_.standing(); }
+  // SIGTERM: refuses new calls, waits for pending answers, sends DPRs, then stops the loop.
+  void drain();
 
  private:
   struct CallEntry {
     Front* front = nullptr;
     RecordPtr record;
-    double offered = 0;  // when
-    std::unique_ptr<const CoreAnswer> rejection;
+    double offered_at = 0;
+    std::unique_ptr<const CoreAnswer> rejection;  // the last answer that rejected the call for good
   };
 
   // DeskPorts
-  void answer(CallId call, const Verdict& verdict) override;
+  void answer(CallId call, const Verdict& result) override;
   void cut(CallId call) override;
   Handover send_setup(CallId call, std::uint32_t attempt, ServerId server, double give_up_after_s) override;
   void release(CallId call, std::uint32_t attempt, ServerId server) override;
   void forget(CallId call) override;
   void subscribe() override;
-  void tell_peer(std::uint32_t peer, const std::vector<Hearsay>& hearsay) override;
+  void tell_peer(std::uint32_t peer, const std::vector<Hearsay>& entries) override;
   void log(const std::string& text) override;
   // CorePorts
   void core_stood(CallId call, std::uint32_t attempt, const CoreAnswer& answer) override;
@@ -69,7 +72,7 @@
   void core_errors(const std::string& server, const AnswerWatch::Warning& warning) override;
   void core_event(const std::string& server, const char* event, const std::string& detail) override;
   // Switchboard
-  CallId next_call() override { return desk_.next_call(); }
+  CallId next_call() override { return call_manager_.next_call(); }
   void offer(Front& front, CallId call, RecordPtr record, bool peer_on_trial) override;
   std::optional<diameter::Fault> refusal_of_realm(const CallRecord& record) override;
   std::optional<diameter::Fault> refusal_of_setup(const CallRecord& record) override;
@@ -78,18 +81,18 @@
   std::uint32_t pass_termination(const CallRecord& record) override;
   const std::string& identity_of(ServerId server) override;
 
-  void on_list(const list::SseEvent& event);
-  bool load_kept_list();  // true: there is one
-  void keep_list(const list::News& news);
-  void confirm_list();
-  void tell_store_faults();
+  void on_list_event(const list::SseEvent& event);
+  bool load_stored_list();  // returns whether the store held a list
+  void store_list(const list::News& news);
+  void schedule_list_confirmation();
+  void log_store_faults();
   void load_cached_list();
-  void save_list();
+  void save_cached_list();
   void on_datagram(std::string_view bytes, net::Address from);
-  void watch_desk();
-  void drained();
-  Admin::Response health() const;
-  Admin::Response calls() const;
+  void schedule_call_timer();
+  void check_drained();
+  AdminServer::Response health() const;
+  AdminServer::Response calls() const;
 
   net::Loop& loop_;
   Config config_;
@@ -97,35 +100,35 @@
   std::uint64_t seed_;
   diameter::LocalNode local_;
   Metrics metrics_;
-  list::Book book_;
+  list::Book server_list_;
   Realms realms_;
-  CallDesk desk_;
+  CallDesk call_manager_;
   CoreSide core_;
   DiameterFront front_;
   std::unordered_map<CallId, CallEntry> calls_;
-  std::unique_ptr<list::Client> list_;
+  std::unique_ptr<list::Client> list_client_;
   std::unique_ptr<net::Datagrams> datagrams_;
-  fleet::Writer hearsay_out_;
-  fleet::Reader hearsay_in_;
-  std::unique_ptr<Admin> admin_;
-  // Told by the store's own thread, logged by the loop.
+  fleet::Writer gossip_writer_;
+  fleet::Reader gossip_reader_;
+  std::unique_ptr<AdminServer> admin_server_;
+  // Reported by the store's thread, logged by the event loop.
   std::mutex store_faults_mutex_;
   std::vector<std::string> store_faults_;
-  std::unique_ptr<membership::Keeper> keeper_;
-  net::TimerId desk_timer_ = 0;
-  double desk_timer_at_ = 0;
+  std::unique_ptr<membership::Keeper> list_store_;
+  net::TimerId call_timer_ = 0;
+  double call_timer_at_ = 0;
   net::TimerId drain_timer_ = 0;
   net::TimerId confirm_timer_ = 0;
-  bool release_sent_ = false;  // by the call that is being hung up
+  bool release_sent_ = false;  // whether the current hang_up() has sent a release
   std::uint64_t realm_refused_ = 0;
   std::uint64_t class_refused_ = 0;
   std::uint64_t class_assumed_ = 0;
   std::uint64_t unknown_host_ = 0;
   bool draining_ = false;
   bool stopping_ = false;
-  double drain_until_ = 0;
-  bool save_pending_ = false;
-  bool list_fresh_ = false;
+  double drain_deadline_ = 0;
+  bool cache_write_pending_ = false;
+  bool list_connected_ = false;  // an update has arrived since the subscription last failed
 };
 
 }  // namespace mintrock::edge
--- a/src/edge/logging.cpp
+++ b/src/edge/logging.cpp
@@ -17,43 +17,46 @@
 
 constexpr const char* kPattern = R"({"time":"%Y-%m-%dT%H:%M:%S.%f%z","level":"%l",%v})";
 
-class BoundedStderr : public spdlog::sinks::base_sink<spdlog::details::null_mutex> {
+class NonblockingStderr : public spdlog::sinks::base_sink<spdlog::details::null_mutex> {
  public:
-  explicit BoundedStderr(double lines_per_s) : rate_(lines_per_s), left_(lines_per_s) {}
+  explicit NonblockingStderr(double lines_per_s) : lines_per_s_(lines_per_s), tokens_(lines_per_s) {}
 
  private:
   void sink_it_(const spdlog::details::log_msg& msg) override {
     const auto now = std::chrono::steady_clock::now();
-    left_ = std::min(rate_, left_ + rate_ * std::chrono::duration<double>(now - last_).count());
-    last_ = now;
-    // The descriptor's flags are shared with whoever opened it, so it is asked each time instead.
+    tokens_ = std::min(lines_per_s_,
+                       tokens_ + lines_per_s_ * std::chrono::duration<double>(now - last_refill_).count());
+    last_refill_ = now;
+    // Poll instead of setting O_NONBLOCK: the descriptor's flags are shared with other processes that hold
+    // it.
     pollfd out{STDERR_FILENO, POLLOUT, 0};
-    if (left_ < 1 || poll(&out, 1, 0) != 1 || (out.revents & POLLOUT) == 0) {
+    if (tokens_ < 1 || poll(&out, 1, 0) != 1 || (out.revents & POLLOUT) == 0) {
       dropped_ += 1;
       return;
     }
-    left_ -= 1;
+    tokens_ -= 1;
     spdlog::memory_buf_t line;
     formatter_->format(msg, line);
     std::string text(line.data(), line.size());
     if (dropped_ > 0) text += "{\"event\":\"log_dropped\",\"lines\":" + std::to_string(dropped_) + "}\n";
     dropped_ = 0;
-    // A pipe that is ready takes 4 KiB whole, and no line here is longer.
+    // A pipe that is ready for writing accepts PIPE_BUF (4 KiB) bytes at once; longer lines are cut to that.
     text.resize(std::min<std::size_t>(text.size(), PIPE_BUF));
     if (write(STDERR_FILENO, text.data(), text.size()) < 0) dropped_ = 1;
   }
   void flush_() override {}
 
-  double rate_;
-  double left_;
+  double lines_per_s_;
+  double tokens_;
   std::uint64_t dropped_ = 0;
-  std::chrono::steady_clock::time_point last_ = std::chrono::steady_clock::now();
+  std::chrono::steady_clock::time_point last_refill_ = std::chrono::steady_clock::now();
 };
 
 }  // namespace
 
-void init_bounded_logging(const std::string& level, double lines_per_s) {
-  auto logger = std::make_shared<spdlog::logger>("mintrock", std::make_shared<BoundedStderr>(lines_per_s));
+void init_nonblocking_logging(const std::string& level, double lines_per_s) {
+  auto logger =
+      std::make_shared<spdlog::logger>("mintrock", std::make_shared<NonblockingStderr>(lines_per_s));
   logger->set_pattern(kPattern);
   spdlog::set_default_logger(std::move(logger));
   set_log_level(level);
@@ -77,7 +80,7 @@
   for (const auto& [key, value] : members) {
     if (!value.empty()) json[key] = value;
   }
-  // Bytes from outside may be no UTF-8; they are shown as far as they can be.
+  // Values from peers may be invalid UTF-8: invalid bytes are replaced.
   const std::string text = json.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace);
   spdlog::log(level, "{}", std::string_view(text).substr(1, text.size() - 2));
 }
--- a/src/edge/logging.hpp
+++ b/src/edge/logging.hpp
@@ -1,5 +1,5 @@
-// Structured logs: one JSON object a line, through spdlog. Members: time, level, event, and what the event
-// has (call, session, peer, detail).
+// Structured logs: one JSON object per line, through spdlog. Members: time, level, event, and the event's own
+// members (call, session, peer, detail).
 #ifndef MINTROCK_SRC_EDGE_LOGGING_HPP_
 #define MINTROCK_SRC_EDGE_LOGGING_HPP_
 
@@ -11,11 +11,12 @@
 
 namespace mintrock::edge {
 
-// Sets the process's logger up: level of debug, info, warning, error; an empty file is standard error.
+// Sets up the process's logger. `level`: debug, info, warning or error. `file`: empty for standard error.
 void init_logging(const std::string& level, const std::string& file);
-// The same to standard error for a process that must never wait for whoever reads it: what is not taken at
-// once is dropped, and so is what exceeds `lines_per_s`; how many lines, the next one tells.
-void init_bounded_logging(const std::string& level, double lines_per_s);
+// The same to standard error for a process that must never block on the reader of its log. A line is dropped
+// if it can't be written at once or exceeds `lines_per_s`; the next line written reports how many were
+// dropped.
+void init_nonblocking_logging(const std::string& level, double lines_per_s);
 void set_log_level(const std::string& level);
 
 void log_event(spdlog::level::level_enum level, const char* event,
--- a/src/edge/main.cpp
+++ b/src/edge/main.cpp
@@ -26,15 +26,16 @@
   return text.str();
 }
 
-// A signal that comes before its handler stands waits for it: the loop's watchers each let it through.
-void hold_signals() {
-  sigset_t ours;
-  sigemptyset(&ours);
-  for (const int each : {SIGHUP, SIGTERM, SIGINT}) sigaddset(&ours, each);
-  pthread_sigmask(SIG_BLOCK, &ours, nullptr);
+// Blocks the signals until their handlers are installed, so that early ones stay pending. The loop unblocks
+// each signal when its handler is installed.
+void block_signals() {
+  sigset_t handled;
+  sigemptyset(&handled);
+  for (const int each : {SIGHUP, SIGTERM, SIGINT}) sigaddset(&handled, each);
+  pthread_sigmask(SIG_BLOCK, &handled, nullptr);
 }
 
-// Either route: the same signals mean the same.
+// Runs either kind of edge until it stops its loop. Both handle the same signals in the same way.
 template <typename Edge, typename Config>
 void run(Config config, const std::string& file) {
   std::signal(SIGPIPE, SIG_IGN);
@@ -47,11 +48,11 @@
   loop.run();
 }
 
-void serve_platform() {
+void run_platform() {
   const char* const file = std::getenv("LB_CONFIG");
   if (file == nullptr) throw std::runtime_error("LB_CONFIG is not set");
-  constexpr double kLogLines = 400;  // a second
-  mintrock::edge::init_bounded_logging("info", kLogLines);
+  constexpr double kLogLinesPerSecond = 400;
+  mintrock::edge::init_nonblocking_logging("info", kLogLinesPerSecond);
   run<mintrock::platform::PlatformEdge>(mintrock::platform::parse_config(read_file(file)), file);
 }
 
@@ -70,10 +71,10 @@
     std::fprintf(stderr, "mintrock-edge: one of --config and --platform is needed\n");
     return 2;
   }
-  hold_signals();
+  block_signals();
   try {
     if (platform) {
-      serve_platform();
+      run_platform();
       return 0;
     }
     mintrock::edge::Config config = mintrock::edge::load_config(file);
--- a/src/edge/metrics.hpp
+++ b/src/edge/metrics.hpp
@@ -1,4 +1,4 @@
-// The proxy's figures in Prometheus' text format. Counters of the packages are read when somebody asks.
+// The proxy's metrics in Prometheus' text format. Values are read from the components on each scrape.
 #ifndef MINTROCK_SRC_EDGE_METRICS_HPP_
 #define MINTROCK_SRC_EDGE_METRICS_HPP_
 
@@ -17,20 +17,21 @@
 class Metrics {
  public:
   Metrics();
-  // A figure that is read on demand.
-  void gauge(const std::string& name, const std::string& help,
-             const std::map<std::string, std::string>& labels, std::function<double()> value);
-  void counter(const std::string& name, const std::string& help,
-               const std::map<std::string, std::string>& labels, std::function<double()> value);
-  // Counters whose labels are only known as they come up.
-  void family(const std::string& name, const std::string& help,
-              std::function<std::vector<std::pair<std::map<std::string, std::string>, double>>()> values);
-  void setup_delay(double seconds) { delay_->Observe(seconds); }
-  std::string text();
+  // Registers a metric whose value is read on each scrape.
+  void add_gauge(const std::string& name, const std::string& help,
+                 const std::map<std::string, std::string>& labels, std::function<double()> value);
+  void add_counter(const std::string& name, const std::string& help,
+                   const std::map<std::string, std::string>& labels, std::function<double()> value);
+  // Registers counters whose labels are not known in advance.
+  void add_counter_family(
+      const std::string& name, const std::string& help,
+      std::function<std::vector<std::pair<std::map<std::string, std::string>, double>>()> values);
+  void observe_setup_delay(double seconds) { setup_delay_->Observe(seconds); }
+  std::string serialize();
 
  private:
   prometheus::Registry registry_;
-  prometheus::Histogram* delay_;
+  prometheus::Histogram* setup_delay_;
   std::vector<std::function<void()>> refresh_;
 };
 
--- a/src/edge/peer_link.cpp
+++ b/src/edge/peer_link.cpp
@@ -24,40 +24,40 @@
 
 void PeerLink::start() {
   peer_.start(loop_.now());
-  reschedule();
+  reschedule_timer();
 }
 
 void PeerLink::stop(diameter::DisconnectCause cause) {
   peer_.stop(cause, loop_.now());
-  reschedule();
+  reschedule_timer();
 }
 
 bool PeerLink::adopt(std::shared_ptr<net::Stream> accepted, const diameter::MessageView& cer,
                      std::string_view rest) {
-  // In place before the machine answers over it.
-  std::shared_ptr<net::Stream> before = std::exchange(stream(Link::kAccepted), accepted);
+  // Set the stream first: the state machine may answer over it from within accept().
+  std::shared_ptr<net::Stream> previous = std::exchange(stream(Link::kAccepted), accepted);
   std::string reply;
   if (!peer_.accept(cer, loop_.now(), reply)) {
-    stream(Link::kAccepted) = std::move(before);
+    stream(Link::kAccepted) = std::move(previous);
     accepted->write(reply);
     accepted->close_after_flush();
     return false;
   }
-  watch(Link::kAccepted);
+  watch_stream(Link::kAccepted);
   if (!rest.empty()) peer_.received(Link::kAccepted, rest, loop_.now());
-  reschedule();
+  reschedule_timer();
   return true;
 }
 
 void PeerLink::connect() {
   if (!address_) return;
   stream(Link::kInitiated) = net::Stream::connect(loop_, *address_, max_unsent_);
-  watch(Link::kInitiated);
+  watch_stream(Link::kInitiated);
 }
 
-void PeerLink::watch(Link link) {
+void PeerLink::watch_stream(Link link) {
   const std::shared_ptr<net::Stream> watched = stream(link);
-  // A stream that was replaced says nothing more.
+  // Events of a stream that has been replaced are ignored.
   const std::weak_ptr<net::Stream> weak = watched;
   const auto current = [this, link, weak] { return stream(link) == weak.lock(); };
   net::Stream::Handlers handlers;
@@ -66,23 +66,23 @@
     if (!current()) return;
     *connected = true;
     peer_.connected(loop_.now());
-    reschedule();
+    reschedule_timer();
   };
   handlers.on_bytes = [this, link, current](std::string_view bytes) {
     if (!current()) return;
     peer_.received(link, bytes, loop_.now());
-    reschedule();
+    reschedule_timer();
   };
-  handlers.on_closed = [this, link, current, connected](const std::string& why) {
+  handlers.on_closed = [this, link, current, connected](const std::string& reason) {
     if (!current()) return;
     stream(link).reset();
     if (*connected) {
-      peer_.closed(link, loop_.now(), why);
+      peer_.closed(link, loop_.now(), reason);
     } else {
       peer_.connect_failed(loop_.now());
-      if (handlers_.on_connect_failed) handlers_.on_connect_failed(why);
+      if (handlers_.on_connect_failed) handlers_.on_connect_failed(reason);
     }
-    reschedule();
+    reschedule_timer();
   };
   watched->set(std::move(handlers));
 }
@@ -92,13 +92,13 @@
 }
 
 void PeerLink::close(Link link) {
-  // What was written last (a DPA, an error answer) still goes out.
+  // The last message (a DPA or an error answer) is still sent.
   if (stream(link)) std::exchange(stream(link), nullptr)->close_after_flush();
 }
 
-// The timer is only set anew when the machine wants to be called earlier; one that comes too early looks
-// again.
-void PeerLink::reschedule() {
+// The timer is only replaced if the state machine's deadline is earlier. One that fires too early is
+// scheduled again.
+void PeerLink::reschedule_timer() {
   const double due = peer_.deadline();
   if (timer_ != 0 && timer_at_ <= due) return;
   loop_.timers().cancel(std::exchange(timer_, 0));
@@ -107,7 +107,7 @@
   timer_ = loop_.timers().at(due, [this] {
     timer_ = 0;
     if (loop_.now() >= peer_.deadline()) peer_.tick(loop_.now());
-    reschedule();
+    reschedule_timer();
   });
 }
 
--- a/src/edge/peer_link.hpp
+++ b/src/edge/peer_link.hpp
@@ -1,4 +1,4 @@
-// A Diameter peer on real sockets: the pure machine of diameter/peer.hpp joined to streams and timers.
+// A Diameter peer over sockets: connects the state machine of diameter/peer.hpp to streams and timers.
 #ifndef MINTROCK_SRC_EDGE_PEER_LINK_HPP_
 #define MINTROCK_SRC_EDGE_PEER_LINK_HPP_
 
@@ -16,11 +16,11 @@
  public:
   struct Handlers {
     std::function<void()> on_up;
-    std::function<void(const std::string& why)> on_down;
+    std::function<void(const std::string& reason)> on_down;
     std::function<void(bool suspect)> on_suspect;
     std::function<void(const diameter::MessageView&, bool reopening)> on_message;
     std::function<void(const std::string& what)> on_malformed;
-    std::function<void(const std::string& why)> on_connect_failed;  // a connection could not be had
+    std::function<void(const std::string& reason)> on_connect_failed;  // a connection could not be opened
   };
 
   PeerLink(net::Loop& loop, const diameter::LocalNode& local, diameter::PeerSettings settings,
@@ -31,8 +31,8 @@
 
   void start();
   void stop(diameter::DisconnectCause cause);
-  // Takes over an accepted connection whose CER was read; `rest` are the bytes that came behind it. False: it
-  // was rejected, answered if need be, and is closed.
+  // Takes over an accepted connection whose CER was read; `rest` holds the bytes received after it. Returns
+  // false if the state machine rejects the connection: it is then answered if need be, and closed.
   bool adopt(std::shared_ptr<net::Stream> stream, const diameter::MessageView& cer, std::string_view rest);
   bool send(std::string bytes) { return peer_.send(std::move(bytes)); }
   diameter::Peer& peer() { return peer_; }
@@ -43,7 +43,7 @@
   void send(diameter::Link link, std::string bytes) override;
   void close(diameter::Link link) override;
   void up() override { handlers_.on_up(); }
-  void down(const std::string& why) override { handlers_.on_down(why); }
+  void down(const std::string& reason) override { handlers_.on_down(reason); }
   void suspect(bool now_suspect) override { handlers_.on_suspect(now_suspect); }
   void message(const diameter::MessageView& view, bool reopening) override {
     handlers_.on_message(view, reopening);
@@ -53,8 +53,8 @@
   std::shared_ptr<net::Stream>& stream(diameter::Link link) {
     return streams_[link == diameter::Link::kInitiated ? 0 : 1];
   }
-  void watch(diameter::Link link);
-  void reschedule();
+  void watch_stream(diameter::Link link);
+  void reschedule_timer();
 
   net::Loop& loop_;
   std::optional<net::Address> address_;
--- a/src/edge/results.cpp
+++ b/src/edge/results.cpp
@@ -51,7 +51,7 @@
     {5031, "DIAMETER_RATING_FAILED", Outcome::kError, Cause::kRejected},
 };
 
-const Row* find(std::uint32_t result) {
+const Row* find_row(std::uint32_t result) {
   for (const Row& row : kRows) {
     if (row.result == result) return &row;
   }
@@ -80,14 +80,15 @@
 ResultMeaning meaning_of(std::uint32_t result) {
   const ResultGroup group = group_of(result);
   if (group == ResultGroup::kSuccess) return {true, Outcome::kEnded, Cause::kNone};
-  if (const Row* row = find(result)) return {false, row->outcome, row->cause};
-  // A transient one may go well at the next try. What is not known is not repeated at the same server.
+  if (const Row* row = find_row(result)) return {false, row->outcome, row->cause};
+  // An unknown transient failure may succeed at the next attempt. Other unknown codes are not retried at the
+  // same server.
   if (group == ResultGroup::kTransient) return {false, Outcome::kError, Cause::kNone};
   return {false, Outcome::kError, Cause::kUnfit};
 }
 
 std::string_view name_of_result(std::uint32_t result) {
-  const Row* row = find(result);
+  const Row* row = find_row(result);
   return row != nullptr ? row->name : std::string_view();
 }
 
--- a/tests/edge/config_test.cpp
+++ b/tests/edge/config_test.cpp
@@ -12,7 +12,7 @@
 namespace mintrock::edge {
 namespace {
 
-constexpr const char* kGood =
+constexpr const char* kValid =
     R"(node: {identity: edge-1.test, realm: test, listen: "127.0.0.1:3868", admin: "127.0.0.1:8080"}
 list: {server: "127.0.0.1:9000"}
 classes:
@@ -20,18 +20,18 @@
   - {name: b, service_identifier: 7, aim: 2s, deadline: 9s, effect: once}
 )";
 
-struct File {
-  explicit File(const std::string& text)
+struct TempFile {
+  explicit TempFile(const std::string& text)
       : path(std::string(::testing::TempDir()) + "config-" + std::to_string(getpid()) + ".yaml") {
     std::ofstream(path) << text;
   }
-  ~File() { std::remove(path.c_str()); }
+  ~TempFile() { std::remove(path.c_str()); }
   std::string path;
 };
 
-// What is wrong with it, without the file's folder.
-std::string fault(const std::string& text) {
-  const File file(text);
+// The error message for a configuration, without the path of the file; "good" if there is none.
+std::string error_of(const std::string& text) {
+  const TempFile file(text);
   try {
     load_config(file.path);
     return "good";
@@ -42,10 +42,10 @@
   }
 }
 
-std::string with(const std::string& extra) { return kGood + extra; }
+std::string with(const std::string& extra) { return kValid + extra; }
 
-TEST(EdgeConfig, IsRead) {
-  const File file(
+TEST(EdgeConfig, ReadsSettings) {
+  const TempFile file(
       with("rules: {release_wait: 500ms, overload_factor: 3}\nfleet: {size: 2, own_number: 1}\n"));
   const Config config = load_config(file.path);
   EXPECT_EQ(config.settings.classes.size(), 2u);
@@ -54,57 +54,60 @@
   EXPECT_EQ(config.classes.by_service.at(7), 1u);
   EXPECT_EQ(config.settings.release_wait_s, 0.5);
   EXPECT_EQ(config.settings.own_number, 1u);
-  EXPECT_FALSE(config.core.watchdog) << "no probes unless they are allowed";
+  EXPECT_FALSE(config.core.watchdog) << "watchdog requests are off by default";
 }
 
-TEST(EdgeConfig, EveryFaultNamesFileLineAndKey) {
-  EXPECT_EQ(fault(kGood), "good");
-  EXPECT_EQ(fault(with("limts: {calls: 5}\n")), ":6: limts is not known; the nearest is limits");
-  EXPECT_EQ(fault(with("core: {recconect: 1s}\n")),
+TEST(EdgeConfig, ErrorsNameFileLineAndKey) {
+  EXPECT_EQ(error_of(kValid), "good");
+  EXPECT_EQ(error_of(with("limts: {calls: 5}\n")), ":6: limts is not known; the nearest is limits");
+  EXPECT_EQ(error_of(with("core: {recconect: 1s}\n")),
             ":6: core.recconect is not known; the nearest is core.reconnect");
-  EXPECT_EQ(fault(with("core: {reconnect: 5}\n")), ":6: core.reconnect: '5' has no unit (us, ms, s, m, h)");
-  EXPECT_EQ(fault(with("core: {watchdog_interval: 5s}\n")),
+  EXPECT_EQ(error_of(with("core: {reconnect: 5}\n")),
+            ":6: core.reconnect: '5' has no unit (us, ms, s, m, h)");
+  EXPECT_EQ(error_of(with("core: {watchdog_interval: 5s}\n")),
             ":6: core.watchdog_interval: 5s is not within 6s to 86400s");
-  EXPECT_EQ(fault(with("core: {watchdog: maybe}\n")), ":6: core.watchdog: 'maybe' is neither true nor false");
-  EXPECT_EQ(fault(with("fleet: {size: 2, own_number: 2}\n")), ":6: fleet.own_number: is not below the size");
-  EXPECT_EQ(fault(with("fleet: {size: 2, peers: [\"127.0.0.1:1\"]}\n")),
-            ":6: fleet.peers: are not as many as the size");
-  EXPECT_EQ(fault(with("limits: {calls: 1.5}\n")), ":6: limits.calls: is no whole number");
-  EXPECT_EQ(fault(with("limits: {calls: .inf}\n")), ":6: limits.calls: '.inf' is no number");
-  EXPECT_EQ(fault(with("node: {}\n")), ":6: node stands twice");
-  EXPECT_EQ(fault("node: [1]\n"), ":1: node. is no mapping");
-  EXPECT_EQ(fault("a: b: c\n").substr(0, 3), ":1:");
-  EXPECT_EQ(fault(""), ": node: is missing");
-  std::string text = kGood;
+  EXPECT_EQ(error_of(with("core: {watchdog: maybe}\n")),
+            ":6: core.watchdog: 'maybe' is neither true nor false");
+  EXPECT_EQ(error_of(with("fleet: {size: 2, own_number: 2}\n")),
+            ":6: fleet.own_number: is not below the size");
+  EXPECT_EQ(error_of(with("fleet: {size: 2, peers: [\"127.0.0.1:1\"]}\n")),
+            ":6: fleet.peers: must be as many as fleet.size");
+  EXPECT_EQ(error_of(with("limits: {calls: 1.5}\n")), ":6: limits.calls: is no whole number");
+  EXPECT_EQ(error_of(with("limits: {calls: .inf}\n")), ":6: limits.calls: '.inf' is no number");
+  EXPECT_EQ(error_of(with("node: {}\n")), ":6: node stands twice");
+  EXPECT_EQ(error_of("node: [1]\n"), ":1: node. is no mapping");
+  EXPECT_EQ(error_of("a: b: c\n").substr(0, 3), ":1:");
+  EXPECT_EQ(error_of(""), ": node: is missing");
+  std::string text = kValid;
   text.replace(text.find("127.0.0.1:3868"), 14, "127.0.0.1:99999");
-  EXPECT_EQ(fault(text), ":1: node.listen: not a port: '127.0.0.1:99999'");
-  text = kGood;
+  EXPECT_EQ(error_of(text), ":1: node.listen: not a port: '127.0.0.1:99999'");
+  text = kValid;
   text.replace(text.find("service_identifier: 7"), 21, "service_identifier: 1");
-  EXPECT_EQ(fault(text), ":5: classes[1].service_identifier: 1 names another class already");
+  EXPECT_EQ(error_of(text), ":5: classes[1].service_identifier: 1 is already used by another class");
 }
 
-TEST(EdgeConfig, TimesMayBeInMicroseconds) {
-  const File file(with("rules: {release_wait: 500us}\n"));
+TEST(EdgeConfig, AcceptsTimesInMicroseconds) {
+  const TempFile file(with("rules: {release_wait: 500us}\n"));
   EXPECT_DOUBLE_EQ(load_config(file.path).settings.release_wait_s, 0.0005);
 }
 
-TEST(EdgeConfig, RealmsAndTheUnknownClassAreRead) {
-  const File file(
+TEST(EdgeConfig, ReadsRealmsAndTheUnknownClass) {
+  const TempFile file(
       with("unknown_class: b\nrealms: [{realm: Guest.test, action: local}, "
            "{realm: \"*\", action: local}]\n"));
   const Config config = load_config(file.path);
   EXPECT_EQ(config.classes.unknown, 1u);
   EXPECT_EQ(config.realms.at("guest.test"), Realms::Action::kLocal);
   EXPECT_EQ(config.other_realms, Realms::Action::kLocal);
-  const File plain(kGood);
-  EXPECT_FALSE(load_config(plain.path).classes.unknown) << "refused unless told otherwise";
-  EXPECT_EQ(fault(with("unknown_class: c\n")), ":6: unknown_class: 'c' is none of a, b, refuse");
-  EXPECT_EQ(fault(with("realms: [{realm: x, action: local}, {realm: X, action: refuse}]\n")),
-            ":6: realms[1].realm: X stands twice");
+  const TempFile plain(kValid);
+  EXPECT_FALSE(load_config(plain.path).classes.unknown) << "refused by default";
+  EXPECT_EQ(error_of(with("unknown_class: c\n")), ":6: unknown_class: 'c' is none of a, b, refuse");
+  EXPECT_EQ(error_of(with("realms: [{realm: x, action: local}, {realm: X, action: refuse}]\n")),
+            ":6: realms[1].realm: X is listed twice");
 }
 
-TEST(EdgeConfig, ReloadTellsWhatNeedsARestart) {
-  const File file(kGood);
+TEST(EdgeConfig, ListsChangesThatNeedARestart) {
+  const TempFile file(kValid);
   const Config before = load_config(file.path);
   Config after = before;
   after.max_calls = 5;
--- a/tests/edge/edge_test.cpp
+++ b/tests/edge/edge_test.cpp
@@ -1,6 +1,5 @@
-// The whole proxy on real loopback sockets, against a scripted core server, list and callers on the same
-// loop. Nothing waits for a time to pass: each step waits for what must happen, with a bound that only a
-// failure meets.
+// Tests the whole proxy over loopback sockets, with a scripted core server, list server and callers on the
+// same event loop. No step sleeps: each waits for its condition, with a timeout that only a failure reaches.
 #include "edge/edge.hpp"
 
 #include <gtest/gtest.h>
@@ -29,36 +28,36 @@
 using diameter::MessageView;
 using lab::Line;
 
-constexpr double kBound = 20;  // s; far beyond anything that goes well
+constexpr double kWaitTimeout = 20;  // s; far longer than any step takes
 
 std::uint32_t result_of(const MessageView& view) {
   const auto* found = view.find(avp::kResultCode.code);
   return found != nullptr ? diameter::as_u32(*found).value_or(0) : 0;
 }
 
-struct Seen {  // a message, kept
+struct KeptMessage {
   std::string bytes;
   MessageView view;
 };
 
-// A view's own bytes are gone once its handler has returned.
+// Copies the encoded message: a view's bytes are invalid once its handler has returned.
 std::string bytes_of(const MessageView& view) {
   return std::string(view.avps.front().whole.data() - diameter::kHeaderSize, view.header.length);
 }
 
-// A Diameter node whose every move the test makes.
+// A Diameter node that is scripted by the test.
 struct Node {
   net::Loop& loop;
   lab::TraceWriter trace{""};
   std::string host;
   std::uint32_t origin_state = 1;
   std::unique_ptr<net::Listener> listener;
-  std::vector<std::unique_ptr<Line>> lines;
+  std::vector<std::unique_ptr<Line>> connections;
   std::vector<bool> open;
-  std::function<void(Line&, const MessageView&)> on_setup;  // CCR INITIAL
-  std::function<void(Line&, const MessageView&)> on_end;    // CCR TERMINATION; unset: success
-  std::map<std::string, std::string> answers;               // the last one of set-ups, by session, whole
-  std::map<std::string, std::vector<std::uint32_t>> end_results;
+  std::function<void(Line&, const MessageView&)> on_setup;        // CCR INITIAL
+  std::function<void(Line&, const MessageView&)> on_termination;  // CCR TERMINATION; unset: success
+  std::map<std::string, std::string> answers;  // last set-up answer of each session, encoded
+  std::map<std::string, std::vector<std::uint32_t>> end_results;  // of terminations, by session
   int setups = 0, ends = 0, aborts = 0, dprs = 0, ceas = 0;
   bool answer_cer = true;
   bool answer_dpr = true;
@@ -70,30 +69,31 @@
 
   void listen(net::Address at = {}) {
     listener = std::make_unique<net::Listener>(loop, at, [this](int fd, net::Address from) {
-      add(net::Stream::adopt(loop, fd, from, 1 << 20), false);
+      add_connection(net::Stream::adopt(loop, fd, from, 1 << 20), false);
     });
   }
-  void call(net::Address to) { add(net::Stream::connect(loop, to, 1 << 20), true); }
-  void add(std::shared_ptr<net::Stream> stream, bool calls) {
-    const std::size_t place = lines.size();
+  void connect_to(net::Address to) { add_connection(net::Stream::connect(loop, to, 1 << 20), true); }
+  void add_connection(std::shared_ptr<net::Stream> stream, bool initiates) {
+    const std::size_t index = connections.size();
     open.push_back(true);
     Line::Handlers handlers;
-    if (calls) {
-      handlers.on_open = [this, place] {
+    if (initiates) {
+      handlers.on_open = [this, index] {
         Header header;
         header.flags = diameter::kRequest;
         header.command = diameter::kCapabilitiesExchange;
         header.hop_by_hop = 1;
         Builder cer(header);
         lab::write_capabilities(cer, host, origin_state);
-        lines[place]->send(cer.finish());
+        connections[index]->send(cer.finish());
       };
     }
-    handlers.on_message = [this, place](const MessageView& view) { take(*lines[place], view); };
-    handlers.on_closed = [this, place](const std::string&) { open[place] = false; };
-    lines.push_back(std::make_unique<Line>(loop, std::move(stream), trace, host, place, std::move(handlers)));
+    handlers.on_message = [this, index](const MessageView& view) { on_message(*connections[index], view); };
+    handlers.on_closed = [this, index](const std::string&) { open[index] = false; };
+    connections.push_back(
+        std::make_unique<Line>(loop, std::move(stream), trace, host, index, std::move(handlers)));
   }
-  void success(Line& line, const MessageView& view) {
+  void send_success(Line& line, const MessageView& view) {
     Builder b(diameter::answer_header(view.header, false));
     if (const auto* session = view.find(avp::kSessionId.code)) b.raw(session->whole);
     b.u32(avp::kResultCode, diameter::kSuccess);
@@ -110,7 +110,7 @@
     }
     line.send(b.finish());
   }
-  void take(Line& line, const MessageView& view) {
+  void on_message(Line& line, const MessageView& view) {
     if (!view.header.request()) {
       if (view.header.command == diameter::kCapabilitiesExchange) {
         ceas += 1;
@@ -127,33 +127,33 @@
     switch (view.header.command) {
       case diameter::kCapabilitiesExchange:
         cers.push_back(bytes_of(view));
-        if (answer_cer) success(line, view);
+        if (answer_cer) send_success(line, view);
         return;
       case diameter::kDisconnectPeer:
         dprs += 1;
-        if (answer_dpr) success(line, view);
+        if (answer_dpr) send_success(line, view);
         return;
       case diameter::kAbortSession:
         aborts += 1;
-        return success(line, view);
+        return send_success(line, view);
       case diameter::kCreditControl:
         if (request_type(view) == diameter::kInitial) {
           setups += 1;
           if (on_setup) on_setup(line, view);
         } else {
           ends += 1;
-          if (on_end) return on_end(line, view);
-          success(line, view);
+          if (on_termination) return on_termination(line, view);
+          send_success(line, view);
         }
         return;
       default:
-        return success(line, view);
+        return send_success(line, view);
     }
   }
-  // A CCR over its latest connection.
-  void ccr(const std::string& session, std::uint32_t type, std::uint32_t end_to_end,
-           const std::string& extra = "", std::uint32_t wait_ms = 5000, std::uint8_t flags = 0,
-           const std::string& realm = "test", std::optional<std::uint32_t> service = 1) {
+  // Sends a CCR over the latest connection.
+  void send_ccr(const std::string& session, std::uint32_t type, std::uint32_t end_to_end,
+                const std::string& extra = "", std::uint32_t wait_ms = 5000, std::uint8_t flags = 0,
+                const std::string& realm = "test", std::optional<std::uint32_t> service = 1) {
     Header header;
     header.flags = static_cast<std::uint8_t>(diameter::kRequest | diameter::kProxiable | flags);
     header.command = diameter::kCreditControl;
@@ -167,29 +167,29 @@
     if (service) b.u32(avp::kServiceIdentifier, *service);
     if (type == 1) b.u32(avp::kMaximumWaitTime, wait_ms);
     b.raw(extra);
-    lines.back()->send(b.finish());
+    connections.back()->send(b.finish());
   }
 };
 
-class Rig : public ::testing::Test {
+class EdgeTest : public ::testing::Test {
  protected:
-  Rig() : core(loop, "core-0.test"), caller(loop, "dock-1.test") {
+  EdgeTest() : core(loop, "core-0.test"), caller(loop, "dock-1.test") {
     init_logging_once();
-    core.on_setup = [this](Line& line, const MessageView& view) { core.success(line, view); };
-    listen_list({});
+    core.on_setup = [this](Line& line, const MessageView& view) { core.send_success(line, view); };
+    start_list_server({});
   }
-  void listen_list(net::Address at) {
+  void start_list_server(net::Address at) {
     list = std::make_unique<net::Listener>(loop, at, [this](int fd, net::Address from) {
       auto stream = net::Stream::adopt(loop, fd, from, 1 << 20);
       stream->set({{},
                    [this, weak = std::weak_ptr<net::Stream>(stream)](std::string_view) {
                      if (const auto s = weak.lock()) {
                        s->write("HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n");
-                       s->write("data: " + news(1, true, state) + "\n\n");
+                       s->write("data: " + list_update(1, true, state) + "\n\n");
                      }
                    },
                    {}});
-      watchers.push_back(std::move(stream));
+      subscribers.push_back(std::move(stream));
     });
   }
   static void init_logging_once() {
@@ -200,15 +200,16 @@
     (void)done;
   }
 
-  std::string news(std::uint64_t revision, bool full, ServerEntry::State s) {
-    list::News n;
-    n.revision = revision;
-    n.full = full;
-    n.entries = {{core.host, core_at.str(), 0, 0, 1, s, 0}};
-    return list::print_news(n);
+  std::string list_update(std::uint64_t revision, bool full, ServerEntry::State server_state) {
+    list::News update;
+    update.revision = revision;
+    update.full = full;
+    update.entries = {{core.host, core_at.str(), 0, 0, 1, server_state, 0}};
+    return list::print_news(update);
   }
-  void publish(std::uint64_t revision, ServerEntry::State s) {
-    for (auto& each : watchers) each->write("data: " + news(revision, false, s) + "\n\n");
+  void publish(std::uint64_t revision, ServerEntry::State server_state) {
+    for (auto& each : subscribers)
+      each->write("data: " + list_update(revision, false, server_state) + "\n\n");
   }
 
   void start(std::function<void(Config&)> change = {}) {
@@ -233,185 +234,188 @@
     last_config = config;
     edge = std::make_unique<Edge>(loop, config, config_file);
     edge->start();
-    wait([&] { return !core.lines.empty(); }, "the proxy connects to the core server");
+    wait_until([&] { return !core.connections.empty(); }, "the proxy connects to the core server");
   }
   void connect() {
-    caller.call(edge->callers_address());
-    wait([&] { return caller.ceas == 1; }, "the caller is let in");
+    caller.connect_to(edge->callers_address());
+    wait_until([&] { return caller.ceas == 1; }, "the caller is accepted");
   }
-  void wait(const std::function<bool()>& what, const std::string& name) {
-    const double until = loop.now() + kBound;
+  void wait_until(const std::function<bool()>& condition, const std::string& name) {
+    const double deadline = loop.now() + kWaitTimeout;
     std::function<void()> look = [&] {
-      if (what() || loop.now() > until) return loop.stop();
+      if (condition() || loop.now() > deadline) return loop.stop();
       loop.after(0.0005, look);
     };
     look();
-    if (!what()) loop.run();
-    ASSERT_TRUE(what()) << name;
+    if (!condition()) loop.run();
+    ASSERT_TRUE(condition()) << name;
   }
 
   net::Loop loop;
   Node core, caller;
   net::Address core_at;
   std::unique_ptr<net::Listener> list;
-  std::vector<std::shared_ptr<net::Stream>> watchers;
+  std::vector<std::shared_ptr<net::Stream>> subscribers;
   ServerEntry::State state = ServerEntry::State::kReady;
   std::string config_file;
   Config last_config;
   std::unique_ptr<Edge> edge;
 };
 
-TEST_F(Rig, ACallGoesTheWholePathAndBack) {
+TEST_F(EdgeTest, CallPassesToTheCoreServerAndBack) {
   start();
   connect();
   std::string got;
   core.on_setup = [&](Line& line, const MessageView& view) {
     EXPECT_EQ(view.find(avp::kDestinationHost.code)->data, "core-0.test");
-    EXPECT_EQ(view.find(avp::kOriginHost.code)->data, "dock-1.test") << "a proxy leaves the origin";
+    EXPECT_EQ(view.find(avp::kOriginHost.code)->data, "dock-1.test") << "a proxy keeps the Origin-Host";
     EXPECT_EQ(view.find(avp::kRouteRecord.code)->data, "dock-1.test");
     EXPECT_EQ(view.header.end_to_end, 7u);
     EXPECT_FALSE(diameter::check(view));
-    core.success(line, view);
+    core.send_success(line, view);
   };
   Builder info{Header{}};
   info.begin_group(avp::kProxyInfo)
       .text(avp::kProxyHost, "relay.test")
       .text(avp::kProxyState, "s")
       .end_group();
-  caller.ccr("s1", 1, 7, info.finish().substr(20));
-  wait([&] { return caller.results["s1"].size() == 1; }, "an answer");
+  caller.send_ccr("s1", 1, 7, info.finish().substr(20));
+  wait_until([&] { return caller.results["s1"].size() == 1; }, "an answer");
   EXPECT_EQ(caller.results["s1"][0], diameter::kSuccess);
-  EXPECT_EQ(edge->standing_calls(), 1u);
-  caller.ccr("s1", 3, 8);
-  wait([&] { return core.ends == 1; }, "the end reaches the core server");
-  EXPECT_EQ(edge->standing_calls(), 0u);
+  EXPECT_EQ(edge->established_calls(), 1u);
+  caller.send_ccr("s1", 3, 8);
+  wait_until([&] { return core.ends == 1; }, "the termination reaches the core server");
+  EXPECT_EQ(edge->established_calls(), 0u);
 }
 
-TEST_F(Rig, ACallersLostConnectionEndsItsCallsAndReleasesThem) {
+TEST_F(EdgeTest, LosingACallersConnectionReleasesItsUnansweredCalls) {
   start();
   connect();
-  core.on_setup = [](Line&, const MessageView&) {};  // takes set-ups, answers none
-  for (std::uint32_t i = 0; i < 2; ++i) caller.ccr("s" + std::to_string(i), 1, i);
-  wait([&] { return core.setups == 2; }, "set-ups are out");
-  caller.lines.back()->reset();
-  wait([&] { return core.ends == 2; }, "both are released");
+  core.on_setup = [](Line&, const MessageView&) {};  // never answers
+  for (std::uint32_t i = 0; i < 2; ++i) caller.send_ccr("s" + std::to_string(i), 1, i);
+  wait_until([&] { return core.setups == 2; }, "both set-ups are sent");
+  caller.connections.back()->reset();
+  wait_until([&] { return core.ends == 2; }, "both are released");
   EXPECT_EQ(edge->open_calls(), 0u);
-  EXPECT_EQ(edge->desk_counts().abandoned, 2u);
+  EXPECT_EQ(edge->call_counters().abandoned, 2u);
 }
 
-// An answer after the attempt was given up: the caller hears nothing more, and the server is freed again.
-TEST_F(Rig, ALateSuccessIsReleasedAgain) {
+// A success that arrives after the attempt was given up: the caller receives no second answer, and the server
+// is sent another release.
+TEST_F(EdgeTest, LateSuccessIsReleasedAgain) {
   start();
   connect();
-  Seen held;
+  KeptMessage kept;
   core.on_setup = [&](Line& line, const MessageView& view) {
-    held.bytes = bytes_of(view);
+    kept.bytes = bytes_of(view);
     (void)line;
   };
-  caller.ccr("late", 1, 1, "", 150);
-  wait([&] { return caller.results["late"].size() == 1; }, "its one answer");
+  caller.send_ccr("late", 1, 1, "", 150);
+  wait_until([&] { return caller.results["late"].size() == 1; }, "the timeout answer");
   EXPECT_NE(caller.results["late"][0], diameter::kSuccess);
-  wait([&] { return core.ends == 1; }, "given up: released");
-  ASSERT_FALSE(diameter::decode(held.bytes, held.view));
-  core.success(*core.lines.back(), held.view);
-  wait([&] { return core.ends == 2; }, "stood late: released again");
+  wait_until([&] { return core.ends == 1; }, "given up and released");
+  ASSERT_FALSE(diameter::decode(kept.bytes, kept.view));
+  core.send_success(*core.connections.back(), kept.view);
+  wait_until([&] { return core.ends == 2; }, "released again after the late success");
   EXPECT_EQ(caller.results["late"].size(), 1u);
-  EXPECT_EQ(edge->core_counts().late_stood, 1u);
+  EXPECT_EQ(edge->core_counters().late_stood, 1u);
 }
 
-TEST_F(Rig, AnAnswerThatComesTwiceIsAnsweredOnce) {
+TEST_F(EdgeTest, DuplicateCoreAnswerIsForwardedOnce) {
   start();
   connect();
   core.on_setup = [&](Line& line, const MessageView& view) {
-    core.success(line, view);
-    core.success(line, view);
+    core.send_success(line, view);
+    core.send_success(line, view);
   };
-  caller.ccr("twice", 1, 1);
-  wait([&] { return edge->core_counts().unexpected == 1; }, "the second answer is noticed");
-  // What was told of it comes before the answer of a later call.
-  caller.ccr("later", 1, 2);
-  wait([&] { return caller.results["later"].size() == 1; }, "an answer");
+  caller.send_ccr("twice", 1, 1);
+  wait_until([&] { return edge->core_counters().unexpected == 1; }, "the second answer is counted");
+  // A forwarded duplicate would arrive before the answer of a later call.
+  caller.send_ccr("later", 1, 2);
+  wait_until([&] { return caller.results["later"].size() == 1; }, "an answer");
   EXPECT_EQ(caller.results["twice"].size(), 1u);
-  EXPECT_EQ(edge->standing_calls(), 2u);
+  EXPECT_EQ(edge->established_calls(), 2u);
 }
 
-TEST_F(Rig, ARepeatedRequestHasOneSetupAndTheSameAnswer) {
+TEST_F(EdgeTest, RetransmittedRequestGetsTheSameAnswer) {
   start();
   connect();
-  caller.ccr("dup", 1, 5);
-  wait([&] { return caller.results["dup"].size() == 1; }, "an answer");
-  caller.ccr("dup", 1, 5, "", 5000, diameter::kRetransmitted);
-  wait([&] { return caller.results["dup"].size() == 2; }, "the same, again");
+  caller.send_ccr("dup", 1, 5);
+  wait_until([&] { return caller.results["dup"].size() == 1; }, "an answer");
+  caller.send_ccr("dup", 1, 5, "", 5000, diameter::kRetransmitted);
+  wait_until([&] { return caller.results["dup"].size() == 2; }, "the same answer, resent");
   EXPECT_EQ(caller.results["dup"][1], diameter::kSuccess);
   EXPECT_EQ(core.setups, 1);
 }
 
-// Two connections of one peer at once: the core server calls the proxy while the proxy waits for its CEA. The
-// side with the higher name keeps the connection that it accepted; one is left, and calls go over it.
-class Election : public Rig, public ::testing::WithParamInterface<const char*> {};
+// Election (RFC 6733 section 5.6.4): the core server connects to the proxy while the proxy waits for its
+// CEA. The side with the higher name keeps the connection that it accepted. One connection must be left, and
+// carry calls.
+class ElectionTest : public EdgeTest, public ::testing::WithParamInterface<const char*> {};
 
-TEST_P(Election, LeavesOneConnectionAndCallsGoOverIt) {
+TEST_P(ElectionTest, LeavesOneConnectionThatCarriesCalls) {
   core.host = GetParam();
   const bool proxy_wins = std::string("edge.test") > core.host;
   core.answer_cer = false;
   start([](Config& config) { config.core.connect_timeout_s = 30; });
-  wait([&] { return core.cers.size() == 1; }, "the proxy's CER, unanswered");
-  core.call(edge->callers_address());
+  wait_until([&] { return core.cers.size() == 1; }, "the proxy's CER, unanswered");
+  core.connect_to(edge->callers_address());
   if (proxy_wins) {
-    wait([&] { return !core.open[0]; }, "the proxy closes the connection that it opened");
+    wait_until([&] { return !core.open[0]; }, "the proxy closes the connection that it opened");
     EXPECT_TRUE(core.open[1]);
   } else {
-    // The proxy waits for what the core server does: it answers the CER over the proxy's own connection.
-    wait([&] { return edge->core_state(core.host) == "Wait-Returns"; }, "the proxy has compared the names");
+    // The core server has won: it answers the CER on the connection that the proxy opened.
+    wait_until([&] { return edge->core_state(core.host) == "Wait-Returns"; },
+               "the proxy has lost the election");
     MessageView cer;
     ASSERT_FALSE(diameter::decode(core.cers[0], cer));
-    core.success(*core.lines[0], cer);
-    wait([&] { return !core.open[1]; }, "the proxy closes the connection that it accepted");
+    core.send_success(*core.connections[0], cer);
+    wait_until([&] { return !core.open[1]; }, "the proxy closes the connection that it accepted");
     EXPECT_TRUE(core.open[0]);
   }
   connect();
-  caller.ccr("elected", 1, 3);
-  wait([&] { return caller.results["elected"].size() == 1; }, "an answer");
+  caller.send_ccr("elected", 1, 3);
+  wait_until([&] { return caller.results["elected"].size() == 1; }, "an answer");
   EXPECT_EQ(caller.results["elected"][0], diameter::kSuccess);
-  EXPECT_EQ(core.lines.size(), 2u) << "none was opened anew";
+  EXPECT_EQ(core.connections.size(), 2u) << "no further connection was opened";
 }
 
-INSTANTIATE_TEST_SUITE_P(BothWays, Election, ::testing::Values("core-0.test", "zcore.test"));
+INSTANTIATE_TEST_SUITE_P(BothWays, ElectionTest, ::testing::Values("core-0.test", "zcore.test"));
 
-TEST_F(Rig, ACallerThatReadsNothingIsClosedAndOthersGoOn) {
+TEST_F(EdgeTest, CallerThatDoesNotReadIsDisconnectedAndOthersAreServed) {
   start([](Config& config) {
     config.callers.max_unsent = 8192;
     config.max_message = 1024;
   });
   connect();
-  // Each is answered with an error: more and more that it doesn't read, until the sockets' buffers are full.
-  caller.lines.back()->stream().pause_reading(true);
+  // Each request is answered with an error that the caller doesn't read, until the socket buffers are full.
+  caller.connections.back()->stream().pause_reading(true);
   std::uint32_t sent = 0;
   Node other(loop, "dock-2.test");
-  wait(
+  wait_until(
       [&] {
-        net::Stream& stream = caller.lines.back()->stream();
+        net::Stream& stream = caller.connections.back()->stream();
         for (int i = 0; i < 500 && stream.is_open() && stream.unsent() < 200000; ++i)
-          caller.ccr("flood", 2, ++sent);
-        return edge->callers_connected() == 0;
+          caller.send_ccr("flood", 2, ++sent);
+        return edge->connected_callers() == 0;
       },
-      "the proxy closes it");
+      "the proxy disconnects it");
   EXPECT_EQ(edge->open_calls(), 0u);
-  other.call(edge->callers_address());
-  wait([&] { return other.ceas == 1; }, "another caller is let in");
-  other.ccr("fine", 1, 1);
-  wait([&] { return other.results["fine"].size() == 1; }, "and served");
+  other.connect_to(edge->callers_address());
+  wait_until([&] { return other.ceas == 1; }, "another caller is accepted");
+  other.send_ccr("fine", 1, 1);
+  wait_until([&] { return other.results["fine"].size() == 1; }, "and served");
 }
 
-TEST_F(Rig, APeerThatIsNotListedIs3010) {
+TEST_F(EdgeTest, UnlistedPeerIsRejectedWith3010) {
   start([](Config& config) { config.callers.peers = {"dock-7.test"}; });
-  caller.call(edge->callers_address());
-  wait([&] { return !caller.open[0]; }, "it is closed");
+  caller.connect_to(edge->callers_address());
+  wait_until([&] { return !caller.open[0]; }, "the connection is closed");
   EXPECT_EQ(caller.cea_results, std::vector<std::uint32_t>{diameter::kUnknownPeer});
 }
 
-// Hosts that came once, or were rejected, must not fill the table of callers for good.
-TEST_F(Rig, CallersThatWentMakeRoomForOthers) {
+// Hosts that have disconnected or were rejected must not fill the table of callers for good.
+TEST_F(EdgeTest, DisconnectedCallersMakeRoomForOthers) {
   start([](Config& config) {
     config.callers.max_connections = 3;
     config.callers.session_hold_s = 0;
@@ -420,100 +424,101 @@
   for (int i = 0; i < 10; ++i) {
     many.push_back(std::make_unique<Node>(loop, "host-" + std::to_string(i) + ".test"));
     Node& node = *many.back();
-    node.call(edge->callers_address());
-    wait([&] { return node.ceas == 1; }, "let in, number " + std::to_string(i));
-    node.lines.back()->reset();
-    wait([&] { return edge->callers_connected() == 0; }, "gone");
+    node.connect_to(edge->callers_address());
+    wait_until([&] { return node.ceas == 1; }, "accepted, number " + std::to_string(i));
+    node.connections.back()->reset();
+    wait_until([&] { return edge->connected_callers() == 0; }, "disconnected");
   }
 }
 
-TEST_F(Rig, StandingCallsOutliveALostConnectionToTheSameProcess) {
+TEST_F(EdgeTest, EstablishedCallsSurviveAReconnectToTheSameProcess) {
   start();
   connect();
-  caller.ccr("stands", 1, 1);
-  wait([&] { return caller.results["stands"].size() == 1; }, "it stands");
-  core.lines[0]->reset();
-  wait([&] { return core.lines.size() == 2; }, "the proxy comes back");
-  caller.ccr("stands", 3, 2);
-  wait([&] { return core.ends == 1; }, "its end still reaches the server");
+  caller.send_ccr("stands", 1, 1);
+  wait_until([&] { return caller.results["stands"].size() == 1; }, "the call is established");
+  core.connections[0]->reset();
+  wait_until([&] { return core.connections.size() == 2; }, "the proxy reconnects");
+  caller.send_ccr("stands", 3, 2);
+  wait_until([&] { return core.ends == 1; }, "the termination still reaches the server");
   EXPECT_EQ(caller.aborts, 0);
 }
 
-TEST_F(Rig, StandingCallsAreCutOnceTheProcessIsAnother) {
+TEST_F(EdgeTest, EstablishedCallsAreCutIfTheCoreServerHasRestarted) {
   start();
   connect();
-  caller.ccr("cut", 1, 1);
-  wait([&] { return caller.results["cut"].size() == 1; }, "it stands");
+  caller.send_ccr("cut", 1, 1);
+  wait_until([&] { return caller.results["cut"].size() == 1; }, "the call is established");
   core.origin_state += 1;
-  core.lines[0]->reset();
-  wait([&] { return caller.aborts == 1; }, "the caller is told");
-  EXPECT_EQ(edge->standing_calls(), 0u);
-  EXPECT_EQ(core.ends, 0) << "the new process holds nothing of it";
+  core.connections[0]->reset();
+  wait_until([&] { return caller.aborts == 1; }, "the caller is sent an ASR");
+  EXPECT_EQ(edge->established_calls(), 0u);
+  EXPECT_EQ(core.ends, 0) << "the new process does not hold the call";
 }
 
-// A set-up whose connection was lost may stand there all the same: it is released once the server is back.
-TEST_F(Rig, AnAttemptLostWithItsConnectionIsReleasedLater) {
+// A set-up whose connection was lost may still have been established: it is released once the server is back.
+TEST_F(EdgeTest, AttemptLostWithItsConnectionIsReleasedLater) {
   start([](Config& config) { config.settings.attempt_limit = 1; });
   connect();
   core.on_setup = [](Line& line, const MessageView&) { line.reset(); };
-  caller.ccr("doubt", 1, 1);
-  wait([&] { return caller.results["doubt"].size() == 1; }, "an answer");
-  wait([&] { return core.ends == 1; }, "its release reaches the server");
+  caller.send_ccr("lost", 1, 1);
+  wait_until([&] { return caller.results["lost"].size() == 1; }, "an answer");
+  wait_until([&] { return core.ends == 1; }, "the release reaches the server");
 }
 
-// A drain told while a set-up waits for its connection: it must not go out once the connection stands.
-TEST_F(Rig, ASetupThatWaitsForItsConnectionDoesNotOutliveADrain) {
+// The server starts to drain while a set-up waits for its connection: the set-up must not be sent once the
+// server is connected.
+TEST_F(EdgeTest, SetupThatWaitsForAConnectionIsNotSentAfterADrain) {
   core.answer_cer = false;
   start([](Config& config) { config.core.connect_timeout_s = 60; });
   connect();
   const double begun = loop.now();
-  caller.ccr("waits", 1, 1, "", 9000);
-  wait([&] { return edge->desk_counts().attempts == 1; }, "it was handed over");
+  caller.send_ccr("waits", 1, 1, "", 9000);
+  wait_until([&] { return edge->call_counters().attempts == 1; }, "the attempt was handed to the core side");
   publish(2, ServerEntry::State::kDraining);
-  wait([&] { return caller.results["waits"].size() == 1; }, "refused, not sent");
-  EXPECT_LT(loop.now() - begun, 5) << "told by the drain, not by the end of its time";
+  wait_until([&] { return caller.results["waits"].size() == 1; }, "refused without being sent");
+  EXPECT_LT(loop.now() - begun, 5) << "refused because of the drain, not by its timeout";
   EXPECT_EQ(core.setups, 0);
 }
 
-// A server that the list took off is left once it holds no call, and called again when it is back on the
-// list.
-TEST_F(Rig, AServerThatIsGoneIsLeftOnceItHoldsNothing) {
+// A server that is removed from the list is disconnected once it holds no call, and connected again when it
+// is back on the list.
+TEST_F(EdgeTest, RemovedServerIsDisconnectedOnceItHoldsNoCalls) {
   start();
   connect();
-  caller.ccr("last", 1, 1);
-  wait([&] { return caller.results["last"].size() == 1; }, "it stands");
+  caller.send_ccr("last", 1, 1);
+  wait_until([&] { return caller.results["last"].size() == 1; }, "the call is established");
   publish(2, ServerEntry::State::kGone);
-  wait([&] { return edge->list_revision() == 2; }, "the news has come");
-  EXPECT_EQ(core.dprs, 0) << "a call stands there";
-  caller.ccr("last", 3, 3);
-  wait([&] { return core.dprs == 1; }, "left");
+  wait_until([&] { return edge->list_revision() == 2; }, "the update has arrived");
+  EXPECT_EQ(core.dprs, 0) << "it still holds a call";
+  caller.send_ccr("last", 3, 3);
+  wait_until([&] { return core.dprs == 1; }, "disconnected");
   EXPECT_EQ(core.ends, 1);
   publish(3, ServerEntry::State::kReady);
-  wait([&] { return core.lines.size() == 2; }, "called again");
+  wait_until([&] { return core.connections.size() == 2; }, "connected again");
 }
 
-TEST_F(Rig, ShutdownAnswersWhatIsOpenRefusesWhatIsNewAndSaysGoodbye) {
+TEST_F(EdgeTest, DrainAnswersOpenCallsRefusesNewOnesAndDisconnects) {
   start();
   connect();
-  Seen held;
-  core.on_setup = [&](Line&, const MessageView& view) { held.bytes = bytes_of(view); };
-  caller.ccr("open", 1, 1);
-  wait([&] { return core.setups == 1; }, "it is out");
+  KeptMessage kept;
+  core.on_setup = [&](Line&, const MessageView& view) { kept.bytes = bytes_of(view); };
+  caller.send_ccr("open", 1, 1);
+  wait_until([&] { return core.setups == 1; }, "the set-up is sent");
   edge->drain();
-  caller.ccr("new", 1, 2);
-  wait([&] { return caller.results["new"].size() == 1; }, "a new call is refused");
+  caller.send_ccr("new", 1, 2);
+  wait_until([&] { return caller.results["new"].size() == 1; }, "a new call is refused");
   EXPECT_EQ(caller.results["new"][0], diameter::kTooBusy);
-  EXPECT_EQ(caller.dprs, 0) << "not before the open one is answered";
-  ASSERT_FALSE(diameter::decode(held.bytes, held.view));
-  core.success(*core.lines.back(), held.view);
-  loop.run();  // the proxy stops it
+  EXPECT_EQ(caller.dprs, 0) << "not before the open call is answered";
+  ASSERT_FALSE(diameter::decode(kept.bytes, kept.view));
+  core.send_success(*core.connections.back(), kept.view);
+  loop.run();  // until the proxy stops the loop
   EXPECT_EQ(caller.results["open"], std::vector<std::uint32_t>{diameter::kSuccess});
   EXPECT_EQ(caller.dprs, 1);
   EXPECT_EQ(core.dprs, 1);
 }
 
-// A reload takes what can change safely; a file with a fault changes nothing.
-TEST_F(Rig, AReloadTakesLimitsAndAFaultyFileChangesNothing) {
+// A reload applies the settings that can change at run time; an invalid file changes nothing.
+TEST_F(EdgeTest, ReloadAppliesLimitsAndIgnoresAnInvalidFile) {
   const std::string file = ::testing::TempDir() + "reload-" + std::to_string(getpid()) + ".yaml";
   const auto write = [&](const std::string& limits) {
     std::ofstream(file)
@@ -526,26 +531,26 @@
   config_file = file;
   start();
   connect();
-  caller.ccr("first", 1, 1);
-  wait([&] { return caller.results["first"].size() == 1; }, "it stands");
+  caller.send_ccr("first", 1, 1);
+  wait_until([&] { return caller.results["first"].size() == 1; }, "the call is established");
   write("limits: {calls: oops}\n");
   edge->reload();
-  caller.ccr("second", 1, 2);
-  wait([&] { return caller.results["second"].size() == 1; }, "as before");
+  caller.send_ccr("second", 1, 2);
+  wait_until([&] { return caller.results["second"].size() == 1; }, "served as before");
   EXPECT_EQ(caller.results["second"][0], diameter::kSuccess);
   write("limits: {calls: 2}\n");
   edge->reload();
-  caller.ccr("third", 1, 3);
-  wait([&] { return caller.results["third"].size() == 1; }, "refused");
+  caller.send_ccr("third", 1, 3);
+  wait_until([&] { return caller.results["third"].size() == 1; }, "refused");
   EXPECT_EQ(caller.results["third"][0], diameter::kTooBusy);
   std::remove(file.c_str());
 }
 
-TEST_F(Rig, OperatorsPagesAnswer) {
+TEST_F(EdgeTest, AdminPagesAnswer) {
   start();
   connect();
-  caller.ccr("seen", 1, 1);
-  wait([&] { return caller.results["seen"].size() == 1; }, "it stands");
+  caller.send_ccr("seen", 1, 1);
+  wait_until([&] { return caller.results["seen"].size() == 1; }, "the call is established");
   std::string page;
   auto http = net::Stream::connect(loop, edge->admin_address(), 1 << 16);
   http->set({[&] {
@@ -563,9 +568,9 @@
   EXPECT_NE(page.find("404 Not Found"), std::string::npos);
 }
 
-// A core server that can't do a call for good: the caller was told 'too busy, come back' for ever, and nobody
-// else was told anything.
-TEST_F(Rig, APermanentErrorReachesTheCallerAndTheOperators) {
+// A core server answers with a permanent error. Once such errors were reported to the caller as "too busy,
+// retry later" for ever, and not to operators at all.
+TEST_F(EdgeTest, PermanentErrorIsReportedToTheCallerAndOnAdminPages) {
   start();
   connect();
   core.on_setup = [&](Line& line, const MessageView& view) {
@@ -575,16 +580,16 @@
     line.send(diameter::error_answer(local, view, diameter::kAvpUnsupported,
                                      view.find(avp::kCcRequestType.code)->whole, "not known here"));
   };
-  for (std::uint32_t i = 1; i <= 6; ++i) caller.ccr("s" + std::to_string(i), 1, i);
-  wait([&] { return caller.answers.size() == 6; }, "answers");
+  for (std::uint32_t i = 1; i <= 6; ++i) caller.send_ccr("s" + std::to_string(i), 1, i);
+  wait_until([&] { return caller.answers.size() == 6; }, "answers");
   MessageView view;
   ASSERT_FALSE(diameter::decode(caller.answers["s1"], view));
   EXPECT_EQ(result_of(view), diameter::kAvpUnsupported);
-  EXPECT_EQ(view.find(avp::kOriginHost.code)->data, core.host) << "who says so";
+  EXPECT_EQ(view.find(avp::kOriginHost.code)->data, core.host) << "the server that answered";
   EXPECT_EQ(view.find(avp::kErrorMessage.code)->data, "not known here");
   EXPECT_EQ(view.find(avp::kRetryAfter.code, diameter::kVendorOwn), nullptr);
   EXPECT_EQ(describe_failed_avp(view.find(avp::kFailedAvp.code)->data), "CC-Request-Type (416)");
-  EXPECT_EQ(core.setups, 6) << "the same server again can't help";
+  EXPECT_EQ(core.setups, 6) << "no second attempt at the same server";
   std::string page;
   auto http = net::Stream::connect(loop, edge->admin_address(), 1 << 16);
   http->set({[&] {
@@ -600,8 +605,9 @@
             std::string::npos);
 }
 
-// RFC 6733 section 7.2: an answer with the E bit may lack the session. It was taken for an answer to nothing.
-TEST_F(Rig, AnErrorAnswerWithoutItsSessionIsUnderstood) {
+// RFC 6733 section 7.2: an answer with the E bit may lack the Session-Id. Such answers were once dropped as
+// unsolicited.
+TEST_F(EdgeTest, ErrorAnswerWithoutSessionIdIsAccepted) {
   start();
   connect();
   core.on_setup = [&](Line& line, const MessageView& view) {
@@ -609,14 +615,14 @@
     b.u32(avp::kResultCode, 3007).text(avp::kOriginHost, core.host).text(avp::kOriginRealm, "test");
     line.send(b.finish());
   };
-  caller.ccr("s", 1, 1);
-  wait([&] { return caller.results["s"].size() == 1; }, "an answer");
+  caller.send_ccr("s", 1, 1);
+  wait_until([&] { return caller.results["s"].size() == 1; }, "an answer");
   EXPECT_EQ(caller.results["s"][0], 3007u);
 }
 
-// A foreign core server, and a foreign caller, took an AVP that they didn't know for a broken message, though
-// it had no M bit.
-TEST_F(Rig, PlainPeersAreSentNothingButTheRfcsAvps) {
+// Core servers and callers of other makes rejected messages with an unknown AVP as malformed, though it had
+// no M bit.
+TEST_F(EdgeTest, PlainPeersReceiveOnlyRfcAvps) {
   start([](Config& c) { c.core.plain = c.callers.plain = true; });
   connect();
   const auto foreign = [](const MessageView& view) {
@@ -632,8 +638,8 @@
     b.text(avp::kOriginHost, core.host).text(avp::kOriginRealm, "test");
     line.send(b.finish());
   };
-  caller.ccr("s", 1, 1);
-  wait([&] { return caller.answers.count("s") == 1; }, "an answer");
+  caller.send_ccr("s", 1, 1);
+  wait_until([&] { return caller.answers.count("s") == 1; }, "an answer");
   EXPECT_EQ(seen, 0);
   MessageView view;
   ASSERT_FALSE(diameter::decode(caller.answers["s"], view));
@@ -641,8 +647,8 @@
   EXPECT_NE(view.find(avp::kErrorMessage.code)->data.find("come back after"), std::string::npos);
 }
 
-// RFC 8506's own AVPs carry the M bit; a set-up with them was refused with 5001.
-TEST_F(Rig, AvpsOfCreditControlArePassedOn) {
+// The AVPs that RFC 8506 defines carry the M bit. Set-ups with them were once refused with 5001.
+TEST_F(EdgeTest, CreditControlAvpsAreForwarded) {
   start();
   connect();
   Builder extra{Header{}};
@@ -651,33 +657,33 @@
   core.on_setup = [&](Line& line, const MessageView& view) {
     const auto* found = view.find(avp::kSubscriptionId.code);
     passed = found != nullptr && found->data == "whatever stands inside";
-    core.success(line, view);
+    core.send_success(line, view);
   };
-  caller.ccr("s", 1, 1, extra.finish().substr(20));
-  wait([&] { return caller.results["s"].size() == 1; }, "an answer");
+  caller.send_ccr("s", 1, 1, extra.finish().substr(20));
+  wait_until([&] { return caller.results["s"].size() == 1; }, "an answer");
   EXPECT_EQ(caller.results["s"][0], diameter::kSuccess);
   EXPECT_TRUE(passed);
 }
 
-TEST_F(Rig, AnotherRealmsRequestIs3003) {
+TEST_F(EdgeTest, RequestForAnotherRealmIsRejectedWith3003) {
   start([](Config& c) { c.realms["guest.test"] = Realms::Action::kLocal; });
   connect();
-  caller.ccr("other", 1, 1, "", 5000, 0, "elsewhere.example");
-  caller.ccr("guest", 1, 2, "", 5000, 0, "Guest.Test");
-  caller.ccr("none", 3, 3, "", 5000, 0, "elsewhere.example");
-  wait([&] { return caller.results.size() == 2 && caller.end_results.size() == 1; }, "answers");
+  caller.send_ccr("other", 1, 1, "", 5000, 0, "elsewhere.example");
+  caller.send_ccr("guest", 1, 2, "", 5000, 0, "Guest.Test");
+  caller.send_ccr("none", 3, 3, "", 5000, 0, "elsewhere.example");
+  wait_until([&] { return caller.results.size() == 2 && caller.end_results.size() == 1; }, "answers");
   EXPECT_EQ(caller.results["other"], (std::vector<std::uint32_t>{diameter::kRealmNotServed}));
   EXPECT_EQ(caller.results["guest"], (std::vector<std::uint32_t>{diameter::kSuccess}));
   EXPECT_EQ(caller.end_results["none"], (std::vector<std::uint32_t>{diameter::kRealmNotServed}));
   EXPECT_EQ(core.setups, 1);
 }
 
-TEST_F(Rig, ACallOfNoKnownClassIsRefusedNamingTheAvp) {
+TEST_F(EdgeTest, CallOfAnUnknownClassIsRefusedWithFailedAvp) {
   start();
   connect();
-  caller.ccr("unknown", 1, 1, "", 5000, 0, "test", 77);
-  caller.ccr("missing", 1, 2, "", 5000, 0, "test", std::nullopt);
-  wait([&] { return caller.answers.size() == 2; }, "answers");
+  caller.send_ccr("unknown", 1, 1, "", 5000, 0, "test", 77);
+  caller.send_ccr("missing", 1, 2, "", 5000, 0, "test", std::nullopt);
+  wait_until([&] { return caller.answers.size() == 2; }, "answers");
   for (const auto& [session, result] :
        {std::pair{"unknown", diameter::kInvalidAvpValue}, std::pair{"missing", diameter::kMissingAvp}}) {
     MessageView view;
@@ -688,59 +694,60 @@
   EXPECT_EQ(core.setups, 0);
 }
 
-// The caller of an end that is lost with its proxy says it again, if nobody told it that all is well. The
-// proxy told it so before the core server had a word in it.
-TEST_F(Rig, AnEndIsAnsweredOnceTheCoreServerHasConfirmedIt) {
+// A caller repeats a termination that is lost with its proxy, unless it was answered. The proxy once answered
+// with success before the core server had confirmed, so that a lost termination was never repeated.
+TEST_F(EdgeTest, TerminationIsAnsweredAfterTheCoreServerConfirms) {
   start();
   connect();
-  caller.ccr("s", 1, 1);
-  wait([&] { return caller.results["s"].size() == 1; }, "it stands");
-  std::string held;
-  core.on_end = [&](Line&, const MessageView& view) { held = bytes_of(view); };
-  caller.ccr("s", 3, 2);
-  wait([&] { return !held.empty(); }, "the end reaches the core server");
+  caller.send_ccr("s", 1, 1);
+  wait_until([&] { return caller.results["s"].size() == 1; }, "the call is established");
+  std::string kept;
+  core.on_termination = [&](Line&, const MessageView& view) { kept = bytes_of(view); };
+  caller.send_ccr("s", 3, 2);
+  wait_until([&] { return !kept.empty(); }, "the termination reaches the core server");
   EXPECT_TRUE(caller.end_results.empty());
-  caller.ccr("s", 3, 2, "", 5000, diameter::kRetransmitted);
-  caller.ccr("behind", 1, 3);
-  wait([&] { return caller.results["behind"].size() == 1; }, "what was sent before has been read");
+  caller.send_ccr("s", 3, 2, "", 5000, diameter::kRetransmitted);
+  caller.send_ccr("behind", 1, 3);
+  wait_until([&] { return caller.results["behind"].size() == 1; }, "the earlier messages have been read");
   MessageView view;
-  ASSERT_FALSE(diameter::decode(held, view));
-  core.success(*core.lines.back(), view);
-  wait([&] { return caller.end_results["s"].size() == 1; }, "confirmed");
+  ASSERT_FALSE(diameter::decode(kept, view));
+  core.send_success(*core.connections.back(), view);
+  wait_until([&] { return caller.end_results["s"].size() == 1; }, "confirmed");
   EXPECT_EQ(caller.end_results["s"][0], diameter::kSuccess);
-  EXPECT_EQ(core.ends, 1) << "the end that came again was the same one";
+  EXPECT_EQ(core.ends, 1) << "the retransmission is not sent again";
 }
 
-// The end of a call whose proxy died before it could tell where the call stands.
-TEST_F(Rig, AnEndThatNamesNoServerIsAskedOfThemAll) {
+// A call's proxy failed before the caller learnt which core server holds the call.
+TEST_F(EdgeTest, TerminationWithoutAServerIsSentToAllServers) {
   start();
   connect();
-  caller.ccr("lost", 3, 1);
-  wait([&] { return caller.end_results["lost"].size() == 1; }, "an answer");
+  caller.send_ccr("lost", 3, 1);
+  wait_until([&] { return caller.end_results["lost"].size() == 1; }, "an answer");
   EXPECT_EQ(core.ends, 1);
   EXPECT_EQ(caller.end_results["lost"][0], diameter::kSuccess);
-  core.on_end = [&](Line& line, const MessageView& view) {
+  core.on_termination = [&](Line& line, const MessageView& view) {
     diameter::LocalNode local;
     local.host = core.host;
     local.realm = "test";
     line.send(diameter::error_answer(local, view, diameter::kUnknownSessionId, {}, ""));
   };
-  caller.ccr("nobodys", 3, 2);
-  wait([&] { return caller.end_results["nobodys"].size() == 1; }, "an answer");
+  caller.send_ccr("nobodys", 3, 2);
+  wait_until([&] { return caller.end_results["nobodys"].size() == 1; }, "an answer");
   EXPECT_EQ(caller.end_results["nobodys"][0], diameter::kUnknownSessionId);
 }
 
-TEST_F(Rig, AnEndThatNobodyConfirmsIsAnsweredInTime) {
+TEST_F(EdgeTest, UnconfirmedTerminationIsAnsweredAtItsTimeout) {
   start([](Config& c) { c.callers.end_wait_s = 0.05; });
   connect();
-  core.on_end = [](Line&, const MessageView&) {};
-  caller.ccr("s", 3, 1);
-  wait([&] { return caller.end_results["s"].size() == 1; }, "an answer");
+  core.on_termination = [](Line&, const MessageView&) {};
+  caller.send_ccr("s", 3, 1);
+  wait_until([&] { return caller.end_results["s"].size() == 1; }, "an answer");
   EXPECT_EQ(caller.end_results["s"][0], diameter::kUnableToDeliver);
 }
 
-// Started again with nobody to ask for the list: calls go by the kept one, and fresh news is heeded at once.
-TEST_F(Rig, AStartWithoutTheListGoesByTheKeptOne) {
+// After a restart without a list server, calls are routed by the stored list; the first update is applied at
+// once.
+TEST_F(EdgeTest, StartsFromTheStoredListIfTheListServerIsDown) {
   const std::string store = std::string(::testing::TempDir()) + "edge-store-" + std::to_string(getpid());
   const auto with_store = [&](Config& c) {
     c.list.store = store;
@@ -748,50 +755,50 @@
   };
   std::remove(store.c_str());
   start(with_store);
-  wait([&] { return edge->list_revision() == 1; }, "the list");
+  wait_until([&] { return edge->list_revision() == 1; }, "the list");
   edge.reset();
   const net::Address list_at = list->local();
   list.reset();
-  for (auto& each : watchers) each->close();
-  core.lines.clear();
+  for (auto& each : subscribers) each->close();
+  core.connections.clear();
   Config config = last_config;
   edge = std::make_unique<Edge>(loop, config, config_file);
   edge->start();
-  wait([&] { return edge->core_state(core.host) == "I-Open"; }, "the kept server is connected to");
+  wait_until([&] { return edge->core_state(core.host) == "I-Open"; }, "the stored server is connected");
   EXPECT_EQ(edge->list_revision(), 0u);
   connect();
-  caller.ccr("s", 1, 1);
-  wait([&] { return caller.results["s"].size() == 1; }, "an answer");
+  caller.send_ccr("s", 1, 1);
+  wait_until([&] { return caller.results["s"].size() == 1; }, "an answer");
   EXPECT_EQ(caller.results["s"][0], diameter::kSuccess);
   state = ServerEntry::State::kDraining;
-  listen_list(list_at);
-  wait([&] { return edge->list_revision() == 1; }, "fresh news");
+  start_list_server(list_at);
+  wait_until([&] { return edge->list_revision() == 1; }, "the first update");
   const int before = core.setups;
-  caller.ccr("t", 1, 2, "", 200);
-  wait([&] { return caller.results["t"].size() == 1; }, "an answer");
-  EXPECT_EQ(core.setups, before) << "drained, whatever was kept";
+  caller.send_ccr("t", 1, 2, "", 200);
+  wait_until([&] { return caller.results["t"].size() == 1; }, "an answer");
+  EXPECT_EQ(core.setups, before) << "it drains, whatever the stored list says";
   edge.reset();
   std::remove(store.c_str());
 }
 
-// A store that can't be had is named, and the proxy starts without it.
-TEST_F(Rig, AnUnusableStoreIsNoReasonNotToStart) {
+// A store that can't be opened is logged, and the proxy starts without it.
+TEST_F(EdgeTest, StartsWithoutAnUnusableStore) {
   start([](Config& c) { c.list.store = "/proc/no-such-folder/store"; });
   connect();
-  caller.ccr("s", 1, 1);
-  wait([&] { return caller.results["s"].size() == 1; }, "an answer");
+  caller.send_ccr("s", 1, 1);
+  wait_until([&] { return caller.results["s"].size() == 1; }, "an answer");
   EXPECT_EQ(caller.results["s"][0], diameter::kSuccess);
 }
 
-TEST_F(Rig, GarbageFromTheCoreSideClosesThatConnectionOnly) {
+TEST_F(EdgeTest, GarbageFromACoreServerClosesOnlyThatConnection) {
   start();
   connect();
-  caller.ccr("before", 1, 1);
-  wait([&] { return caller.results["before"].size() == 1; }, "it stands");
-  core.lines[0]->send_raw(std::string(64, '\x7F'));
-  wait([&] { return core.lines.size() == 2; }, "closed, and opened anew");
-  caller.ccr("after", 1, 2);
-  wait([&] { return caller.results["after"].size() == 1; }, "calls go on");
+  caller.send_ccr("before", 1, 1);
+  wait_until([&] { return caller.results["before"].size() == 1; }, "the call is established");
+  core.connections[0]->send_raw(std::string(64, '\x7F'));
+  wait_until([&] { return core.connections.size() == 2; }, "closed and connected again");
+  caller.send_ccr("after", 1, 2);
+  wait_until([&] { return caller.results["after"].size() == 1; }, "calls go on");
   EXPECT_EQ(caller.results["after"][0], diameter::kSuccess);
 }
 
--- a/tests/edge/results_test.cpp
+++ b/tests/edge/results_test.cpp
@@ -1,4 +1,4 @@
-// What result codes mean for a call, and what is told of servers that answer errors.
+// Tests the meaning of result codes, and the warnings about servers that answer with errors.
 #include "edge/results.hpp"
 
 #include <gtest/gtest.h>
@@ -9,7 +9,7 @@
 namespace mintrock::edge {
 namespace {
 
-TEST(Results, AreGroupedByTheirThousands) {
+TEST(Results, CodesAreGroupedByThousands) {
   EXPECT_EQ(group_of(1001), ResultGroup::kInformational);
   EXPECT_EQ(group_of(2002), ResultGroup::kSuccess);
   EXPECT_EQ(group_of(3004), ResultGroup::kProtocolError);
@@ -19,8 +19,9 @@
   EXPECT_EQ(group_of(9999), ResultGroup::kUnknown);
 }
 
-// A server's own inability may be another's ability; what is the call's own is the same everywhere.
-TEST(Results, TellTheServersFaultFromTheCalls) {
+// kUnfit is a fault of the server, which another server may not have; kRejected is a fault of the call, which
+// every server would reject.
+TEST(Results, DistinguishServerFaultsFromCallFaults) {
   for (const std::uint32_t result : {2001u, 2002u}) EXPECT_TRUE(meaning_of(result).established);
   for (const std::uint32_t result : {3001u, 3003u, 3007u, 5001u, 5004u, 5012u, 5999u, 0u, 9999u}) {
     EXPECT_EQ(meaning_of(result).cause, Cause::kUnfit) << result;
@@ -43,7 +44,7 @@
   return builder.finish().substr(diameter::kHeaderSize);
 }
 
-TEST(Results, AFailedAvpIsNamed) {
+TEST(Results, DescribesTheFailedAvp) {
   EXPECT_EQ(describe_failed_avp(failed_avp(diameter::avp::kCalledStationId)), "Called-Station-Id (30)");
   const diameter::AvpDef foreign{999, 10415, diameter::AvpType::kText, true, ""};
   EXPECT_EQ(describe_failed_avp(failed_avp(foreign)), "AVP 999 of vendor 10415");
@@ -51,7 +52,7 @@
   EXPECT_EQ(describe_failed_avp("\1\2\3"), "");
 }
 
-TEST(AnswerWatch, WarnsOfErrorsOnceInAWhileWithTheirNumber) {
+TEST(AnswerWatch, RateLimitsWarningsAndCountsErrors) {
   AnswerWatch watch;
   const std::string avp = failed_avp(diameter::avp::kCalledStationId);
   EXPECT_FALSE(watch.answered(0, 2001, ""));
@@ -62,11 +63,11 @@
   for (int i = 0; i < 100; ++i) EXPECT_FALSE(watch.answered(2 + 0.01 * i, 5001, avp));
   const auto later = watch.answered(11.5, 5012, "");
   ASSERT_TRUE(later);
-  EXPECT_EQ(later->errors, 101u) << "those that no line named, and this one";
+  EXPECT_EQ(later->errors, 101u) << "the errors since the last warning, and this one";
   EXPECT_EQ(watch.counts().at(5001), 101u);
 }
 
-TEST(AnswerWatch, NothingButErrorsIsToldFromAnErrorNowAndThen) {
+TEST(AnswerWatch, DistinguishesOnlyErrorsFromOccasionalOnes) {
   AnswerWatch watch;
   for (int i = 0; i < 4; ++i) watch.answered(i, 5001, "");
   EXPECT_FALSE(watch.errors_only());
@@ -76,11 +77,12 @@
   watch.answered(9, 5001, "");
   EXPECT_TRUE(watch.errors_only());
   watch.answered(10, 3004, "");
-  EXPECT_FALSE(watch.errors_only()) << "it is busy, not broken";
+  EXPECT_FALSE(watch.errors_only()) << "an overloaded server is not faulty";
 }
 
-// A caller's unknown user is its own affair, a busy number too; a server that knows no user at all is not.
-TEST(AnswerWatch, ACallsOwnFaultIsNoWarningUnlessNothingElseComes) {
+// An unknown user or a busy number is the caller's own fault and raises no warning; a server that answers
+// nothing else does.
+TEST(AnswerWatch, CallFaultsRaiseAWarningOnlyIfNothingElseIsAnswered) {
   AnswerWatch watch;
   EXPECT_FALSE(watch.answered(0, 5030, ""));
   EXPECT_FALSE(watch.answered(1, 4010, ""));
@@ -88,7 +90,7 @@
   EXPECT_TRUE(watch.answered(7, 5030, ""));
 }
 
-TEST(AnswerWatch, CodesAreBounded) {
+TEST(AnswerWatch, BoundsTheNumberOfCodes) {
   AnswerWatch watch;
   for (std::uint32_t i = 0; i < 1000; ++i) watch.answered(0, 10000 + i, "");
   EXPECT_LE(watch.counts().size(), AnswerWatch::kMostCodes + 1);
