--- a/src/edge/diameter_front.cpp
+++ b/src/edge/diameter_front.cpp
@@ -21,17 +21,17 @@
 
 DiameterFront::DiameterFront(
     net::Loop& loop, const diameter::LocalNode& local, const Config& config, std::uint64_t seed,
-    Switchboard& board,
+    Switchboard& switchboard,
     std::function<bool(const std::shared_ptr<net::Stream>&, const MessageView&, std::string_view)>
         offer_to_core_side,
-    std::function<void(const std::string&, const char*, const std::string&)> event)
+    std::function<void(const std::string&, const char*, const std::string&)> log_connection_event)
     : loop_(loop),
       local_(local),
       config_(config),
       seed_(seed),
-      switchboard_(board),
+      switchboard_(switchboard),
       offer_to_core_side_(std::move(offer_to_core_side)),
-      log_connection_event_(std::move(event)),
+      log_connection_event_(std::move(log_connection_event)),
       duplicates_(config.callers.max_duplicates, config.callers.duplicates_s),
       pending_ends_(config.max_calls, config.callers.end_wait_s) {
   listener_ = std::make_unique<net::Listener>(loop_, config_.node.listen,
--- a/src/edge/diameter_front.hpp
+++ b/src/edge/diameter_front.hpp
@@ -32,13 +32,14 @@
  public:
   // `offer_to_core_side` is offered every connection once its CER is read. It returns true if it takes the
   // connection over, since the CER names a core server; otherwise the peer is a caller.
-  // `event` logs one event of a peer's connection: the peer, the event's name, details.
+  // `log_connection_event` logs one event of a peer's connection: the peer, the event's name, details.
   DiameterFront(
       net::Loop& loop, const diameter::LocalNode& local, const Config& config, std::uint64_t seed,
-      Switchboard& board,
+      Switchboard& switchboard,
       std::function<bool(const std::shared_ptr<net::Stream>&, const diameter::MessageView&, std::string_view)>
           offer_to_core_side,
-      std::function<void(const std::string& peer, const char* event, const std::string& detail)> event);
+      std::function<void(const std::string& peer, const char* event, const std::string& detail)>
+          log_connection_event);
   ~DiameterFront() override;
 
   void answer(CallId call, const Verdict& result) override;
@@ -46,7 +47,7 @@
   void forget(CallId call) override;
   void released(const std::string& session, bool ended) override;
 
-  std::size_t ends_open() const { return pending_ends_.size(); }
+  std::size_t pending_ends() const { return pending_ends_.size(); }
   void stop_listening() { listener_.reset(); }
   void stop();  // sends a DPR to every caller
   bool closed() const;
--- a/src/edge/edge.cpp
+++ b/src/edge/edge.cpp
@@ -115,7 +115,7 @@
   add_counter("mintrock_connections_rejected_total", "Callers' connections rejected", {}, front.rejected);
   add_counter("mintrock_duplicates_total", "Requests that came again", {}, front.duplicates);
   metrics_.add_gauge("mintrock_ends_open", "Ends of calls that wait for a core server's word", {},
-                     [this] { return static_cast<double>(front_.ends_open()); });
+                     [this] { return static_cast<double>(front_.pending_ends()); });
   metrics_.add_gauge("mintrock_calls_open", "Calls without an answer yet", {},
                      [this] { return static_cast<double>(call_manager_.open()); });
   metrics_.add_gauge("mintrock_calls_standing", "Calls that stand", {},
@@ -332,26 +332,27 @@
 // ---- The server list ----
 
 void Edge::on_list_event(const list::SseEvent& event) {
-  list::News news;
+  list::News update;
   try {
-    news = list::parse_news(event.data);
+    update = list::parse_news(event.data);
   } catch (const std::exception& error) {
     log_event(warn, "list_malformed", {{"detail", error.what()}});
     return;
   }
-  for (const std::string& fault : news.faults) log_event(warn, "list_entry_malformed", {{"detail", fault}});
-  if (!server_list_.take(news)) return;
+  for (const std::string& fault : update.faults) log_event(warn, "list_entry_malformed", {{"detail", fault}});
+  if (!server_list_.take(update)) return;
   list_connected_ = true;
   const double now = loop_.now();
-  log_event(info, "list", {{"revision", std::to_string(news.revision)}});
+  log_event(info, "list", {{"revision", std::to_string(update.revision)}});
   // Update the Controller first: it must know which servers drain before the core side looks again at the
   // set-ups that wait for a connection.
-  call_manager_.list(server_list_.event(news, news.full ? ServerList::Mode::kFull : ServerList::Mode::kDelta,
-                                        now, net::wall_now()),
-                     now);
+  call_manager_.list(
+      server_list_.event(update, update.full ? ServerList::Mode::kFull : ServerList::Mode::kDelta, now,
+                         net::wall_now()),
+      now);
   for (const auto& [id, entry] : server_list_.entries()) core_.update(id, entry);
   schedule_call_timer();
-  store_list(news);
+  store_list(update);
   save_cached_list();
 }
 
@@ -408,13 +409,13 @@
   const membership::Moment current = moment_at(now);
   const membership::Moment stored{loaded.wall, loaded.monotonic, loaded.boot};
   // Revision 0, so that any later update is accepted: the list server may have restarted its revisions.
-  list::News news;
+  list::News update;
   for (const membership::KeptEntry& each : loaded.entries) {
-    news.entries.push_back(
+    update.entries.push_back(
         {each.identity, each.address, each.node, each.kind, each.weight, each.state, each.started_at});
   }
-  server_list_.take(news);
-  ServerList cached = server_list_.event(news, ServerList::Mode::kCached, now, current.wall);
+  server_list_.take(update);
+  ServerList cached = server_list_.event(update, ServerList::Mode::kCached, now, current.wall);
   std::vector<membership::Kept> kept;
   for (std::size_t i = 0; i < loaded.entries.size(); ++i) {
     const membership::Age age = membership::age_of(loaded.entries[i].last_confirmed, stored, current);
@@ -438,16 +439,16 @@
   return true;
 }
 
-void Edge::store_list(const list::News& news) {
+void Edge::store_list(const list::News& update) {
   if (!list_store_) return;
   const membership::Moment current = moment_at(loop_.now());
   membership::Change change;
-  change.revision = news.revision;
+  change.revision = update.revision;
   change.wall = current.wall;
   change.monotonic = current.monotonic;
   change.boot = current.boot;
-  change.full = news.full;
-  for (const list::Entry& each : news.entries) {
+  change.full = update.full;
+  for (const list::Entry& each : update.entries) {
     if (each.state == ServerEntry::State::kGone) {
       change.removed.push_back(each.identity);
     } else {
@@ -488,15 +489,15 @@
   std::ostringstream text;
   text << in.rdbuf();
   try {
-    list::News news = list::parse_news(text.str());
+    list::News update = list::parse_news(text.str());
     // Any later update is accepted, even with a lower revision: the list server may have restarted its
     // revisions.
-    news.revision = 0;
-    server_list_.take(news);
+    update.revision = 0;
+    server_list_.take(update);
     const double now = loop_.now();
-    call_manager_.list(server_list_.event(news, ServerList::Mode::kCached, now, net::wall_now()), now);
+    call_manager_.list(server_list_.event(update, ServerList::Mode::kCached, now, net::wall_now()), now);
     for (const auto& [id, entry] : server_list_.entries()) core_.update(id, entry);
-    log_event(info, "list_cached", {{"detail", std::to_string(news.entries.size()) + " servers"}});
+    log_event(info, "list_cached", {{"detail", std::to_string(update.entries.size()) + " servers"}});
   } catch (const std::exception& error) {
     log_event(warn, "list_cache_malformed", {{"detail", config_.list.cache_file + ": " + error.what()}});
   }
--- a/src/edge/edge.hpp
+++ b/src/edge/edge.hpp
@@ -52,7 +52,7 @@
     Front* front = nullptr;
     RecordPtr record;
     double offered_at = 0;
-    std::unique_ptr<const CoreAnswer> rejection;  // the last answer that rejected the call for good
+    std::unique_ptr<const CoreAnswer> rejection;  // the last answer with kUnfit or kRejected
   };
 
   // DeskPorts
@@ -83,7 +83,7 @@
 
   void on_list_event(const list::SseEvent& event);
   bool load_stored_list();  // returns whether the store held a list
-  void store_list(const list::News& news);
+  void store_list(const list::News& update);
   void schedule_list_confirmation();
   void log_store_faults();
   void load_cached_list();
--- a/src/edge/main.cpp
+++ b/src/edge/main.cpp
@@ -59,12 +59,13 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-  CLI::App app{"mintrock-edge: sets calls up at core servers, over Diameter or on the users' platform"};
+  CLI::App app{"mintrock-edge: sets up calls at core servers, over Diameter or on the users' platform"};
   std::string file;
   bool check = false;
   bool platform = false;
   app.add_option("--config", file, "settings, a YAML file (docs/configuration.md)");
-  app.add_flag("--platform", platform, "serve the users' platform, as LB_CONFIG says (docs/platform.md)");
+  app.add_flag("--platform", platform,
+               "serve the users' platform; LB_CONFIG names the settings file (docs/platform.md)");
   app.add_flag("--check", check, "read and check the settings, then exit");
   CLI11_PARSE(app, argc, argv);
   if (platform != file.empty()) {
--- a/src/edge/metrics.cpp
+++ b/src/edge/metrics.cpp
@@ -21,13 +21,13 @@
 void Metrics::add_gauge(const std::string& name, const std::string& help,
                         const std::map<std::string, std::string>& labels, std::function<double()> value) {
   auto& gauge = prometheus::BuildGauge().Name(name).Help(help).Register(registry_).Add(labels);
-  refresh_.push_back([&gauge, value = std::move(value)] { gauge.Set(value()); });
+  refresh_functions_.push_back([&gauge, value = std::move(value)] { gauge.Set(value()); });
 }
 
 void Metrics::add_counter(const std::string& name, const std::string& help,
                           const std::map<std::string, std::string>& labels, std::function<double()> value) {
   auto& counter = prometheus::BuildCounter().Name(name).Help(help).Register(registry_).Add(labels);
-  refresh_.push_back([&counter, value = std::move(value)] {
+  refresh_functions_.push_back([&counter, value = std::move(value)] {
     const double current = value();
     if (current > counter.Value()) counter.Increment(current - counter.Value());
   });
@@ -37,7 +37,7 @@
     const std::string& name, const std::string& help,
     std::function<std::vector<std::pair<std::map<std::string, std::string>, double>>()> values) {
   auto& family = prometheus::BuildCounter().Name(name).Help(help).Register(registry_);
-  refresh_.push_back([&family, values = std::move(values)] {
+  refresh_functions_.push_back([&family, values = std::move(values)] {
     for (const auto& [labels, value] : values()) {
       auto& counter = family.Add(labels);  // returns the existing counter for known labels
       if (value > counter.Value()) counter.Increment(value - counter.Value());
@@ -46,7 +46,7 @@
 }
 
 std::string Metrics::serialize() {
-  for (const auto& each : refresh_) each();
+  for (const auto& each : refresh_functions_) each();
   std::ostringstream out;
   prometheus::TextSerializer().Serialize(out, registry_.Collect());
   return out.str();
--- a/src/edge/metrics.hpp
+++ b/src/edge/metrics.hpp
@@ -32,7 +32,7 @@
  private:
   prometheus::Registry registry_;
   prometheus::Histogram* setup_delay_;
-  std::vector<std::function<void()>> refresh_;
+  std::vector<std::function<void()>> refresh_functions_;
 };
 
 }  // namespace mintrock::edge
--- a/tests/edge/edge_test.cpp
+++ b/tests/edge/edge_test.cpp
@@ -434,11 +434,11 @@
 TEST_F(EdgeTest, EstablishedCallsSurviveAReconnectToTheSameProcess) {
   start();
   connect();
-  caller.send_ccr("stands", 1, 1);
-  wait_until([&] { return caller.results["stands"].size() == 1; }, "the call is established");
+  caller.send_ccr("established", 1, 1);
+  wait_until([&] { return caller.results["established"].size() == 1; }, "the call is established");
   core.connections[0]->reset();
   wait_until([&] { return core.connections.size() == 2; }, "the proxy reconnects");
-  caller.send_ccr("stands", 3, 2);
+  caller.send_ccr("established", 3, 2);
   wait_until([&] { return core.ends == 1; }, "the termination still reaches the server");
   EXPECT_EQ(caller.aborts, 0);
 }
@@ -652,11 +652,11 @@
   start();
   connect();
   Builder extra{Header{}};
-  extra.text(avp::kSubscriptionId, "whatever stands inside").u32(avp::kValidityTime, 60);
+  extra.text(avp::kSubscriptionId, "any payload").u32(avp::kValidityTime, 60);
   bool passed = false;
   core.on_setup = [&](Line& line, const MessageView& view) {
     const auto* found = view.find(avp::kSubscriptionId.code);
-    passed = found != nullptr && found->data == "whatever stands inside";
+    passed = found != nullptr && found->data == "any payload";
     core.send_success(line, view);
   };
   caller.send_ccr("s", 1, 1, extra.finish().substr(20));
