--- a/src/lab/soak/core_server.hpp
+++ b/src/lab/soak/core_server.hpp
@@ -57,7 +57,7 @@
   struct Connection {
     std::size_t edge = 0;
     std::shared_ptr<net::Stream> stream;
-    platform::LineCutter cutter;
+    platform::LineSplitter cutter;
     // Ends that were repeated on it lately: should it be lost at once, they are repeated on the next one.
     std::vector<std::pair<double, std::string>> repeated;
   };
--- a/src/lab/soak/fault_line.hpp
+++ b/src/lab/soak/fault_line.hpp
@@ -52,7 +52,7 @@
     std::shared_ptr<net::Stream> far;  // null until it is opened
     std::string to_near;               // held while silent
     std::string to_far;                // held while silent, or until the far side is opened
-    platform::LineCutter passed;       // of what went to the near side
+    platform::LineSplitter passed;     // of what went to the near side
   };
   void listen();
   void accept(int fd, net::Address from);
--- a/src/platform/core_codec.cpp
+++ b/src/platform/core_codec.cpp
@@ -32,7 +32,7 @@
 
 }  // namespace
 
-std::optional<std::string_view> LineCutter::next() {
+std::optional<std::string_view> LineSplitter::next() {
   if (too_long_) return std::nullopt;
   if (at_ > 0 && (at_ == buffer_.size() || at_ >= kMostMessage)) {
     buffer_.erase(0, at_);
--- a/src/platform/core_codec.hpp
+++ b/src/platform/core_codec.hpp
@@ -25,7 +25,7 @@
   Report report;
 };
 
-class LineCutter {
+class LineSplitter {
  public:
   void feed(std::string_view bytes) { buffer_.append(bytes); }
   // The next whole line, good until the next call.
--- a/src/platform/core_links.cpp
+++ b/src/platform/core_connections.cpp
@@ -1,4 +1,4 @@
-#include "platform/core_links.hpp"
+#include "platform/core_connections.hpp"
 
 #include <algorithm>
 #include <limits>
@@ -28,7 +28,7 @@
 
 }  // namespace
 
-CoreLinks::Connection& CoreLinks::open_connection(double now) {
+CoreConnections::Connection& CoreConnections::open_connection(double now) {
   const ConnectionId id = ports_.connect_core(server_);
   counts_.connections += 1;
   ports_.core_connection(server_, id, ConnectionChange::kBegun);
@@ -40,7 +40,7 @@
 }
 
 // An idle connection, else a new one, else the one with the fewest set-ups.
-ConnectionId CoreLinks::pick(double now) {
+ConnectionId CoreConnections::pick(double now) {
   ConnectionId best = 0;
   std::size_t fewest = 0;
   for (const auto& [id, connection] : connections_) {
@@ -57,20 +57,20 @@
   return connections_.rbegin()->first;
 }
 
-ConnectionId CoreLinks::any_up() const {
+ConnectionId CoreConnections::any_up() const {
   for (const auto& [id, connection] : connections_) {
     if (connection.up && !connection.retired) return id;
   }
   return 0;
 }
 
-std::size_t CoreLinks::in_use() const {
+std::size_t CoreConnections::in_use() const {
   std::size_t count = 0;
   for (const auto& [id, connection] : connections_) count += !connection.retired;
   return count;
 }
 
-void CoreLinks::set_up(const Attempt& who, std::uint64_t id, std::string line, double now) {
+void CoreConnections::set_up(const Attempt& who, std::uint64_t id, std::string line, double now) {
   const ConnectionId on = pick(now);
   if (on == 0) return ports_.core_ended(who, Outcome::kConnectFailed, Cause::kNone, 0, {});
   Connection& connection = connections_[on];
@@ -87,7 +87,7 @@
   }
 }
 
-void CoreLinks::release(std::uint64_t id, ConnectionId on, double now) {
+void CoreConnections::release(std::uint64_t id, ConnectionId on, double now) {
   if (on == 0) on = any_up();
   if (on != 0) return send_release(id, on, now);
   if (owed_.size() >= kMostOwed) owed_.pop_front();
@@ -95,7 +95,7 @@
   keep_up(now);
 }
 
-void CoreLinks::send_release(std::uint64_t id, ConnectionId on, double now) {
+void CoreConnections::send_release(std::uint64_t id, ConnectionId on, double now) {
   std::deque<Released>& released = connections_.at(on).released;
   while (!released.empty() &&
          (released.front().at + kReleaseInDoubt <= now || released.size() >= kMostReleased)) {
@@ -105,7 +105,7 @@
   ports_.send_to_core(on, write_core_release(id, kCauseNormal));
 }
 
-std::size_t CoreLinks::releases_in_doubt(double now) const {
+std::size_t CoreConnections::releases_in_doubt(double now) const {
   std::size_t count = 0;
   for (const auto& [which, connection] : connections_) {
     for (const Released& each : connection.released) count += now < each.at + kReleaseInDoubt;
@@ -113,7 +113,7 @@
   return count;
 }
 
-void CoreLinks::give_up(std::uint64_t id, double now) {
+void CoreConnections::give_up(std::uint64_t id, double now) {
   const auto found = out_.find(id);
   if (found == out_.end()) {
     if (standing_.erase(id) != 0) release(id, 0, now);
@@ -139,7 +139,7 @@
   release(id, on, now);
 }
 
-void CoreLinks::end(std::uint64_t id, Outcome outcome, double) {
+void CoreConnections::end(std::uint64_t id, Outcome outcome, double) {
   const auto found = out_.find(id);
   if (found == out_.end()) return;
   const Attempt who = found->second.who;
@@ -147,12 +147,12 @@
   ports_.core_ended(who, outcome, Cause::kNone, 0, {});
 }
 
-bool CoreLinks::wanted() const {
+bool CoreConnections::wanted() const {
   if (address_lost_) return false;
   return state_ == ServerEntry::State::kReady || !idle();
 }
 
-void CoreLinks::keep_up(double now) {
+void CoreConnections::keep_up(double now) {
   const std::size_t want = state_ == ServerEntry::State::kReady ? std::min(kKept, settings_.most) : 1;
   if (!wanted() || in_use() >= want || now < retry_at_) return;
   while (in_use() < want) open_connection(now);
@@ -162,7 +162,7 @@
   retry_at_ = now + retry_gap_ * std::uniform_real_distribution<>(kLeast, 1.0)(random_);
 }
 
-void CoreLinks::set_state(ServerEntry::State state, double now) {
+void CoreConnections::set_state(ServerEntry::State state, double now) {
   state_ = state;
   if (state != ServerEntry::State::kReady) {
     // A set-up that waits for its connection must not go out once the connection stands (rule three).
@@ -184,12 +184,12 @@
   keep_up(now);
 }
 
-void CoreLinks::moved_away(double now) {
+void CoreConnections::moved_away(double now) {
   address_lost_ = true;
   if (any_up() == 0) dead("its address is another's", now);
 }
 
-void CoreLinks::note_serves(double now) {
+void CoreConnections::note_serves(double now) {
   serves_ = now;
   refused_ = false;
 }
@@ -197,7 +197,7 @@
 // While it may be gone with calls that stand there, a new connection is begun now and then: it tells. After a
 // cut it is needed though the old ones speak again: ends that the cut swallowed are repeated on a new one
 // only.
-double CoreLinks::probe_at() const {
+double CoreConnections::probe_at() const {
   if (idle() || address_lost_) return kNever;
   if (refused_) return retry_at_;
   if (!repeats_.doubted() || standing_.empty()) return std::max(heard_ + kQuiet, retry_at_);
@@ -209,18 +209,18 @@
 }
 
 // Until then it may come up, or its first line come.
-double CoreLinks::settles_by(const Connection& connection) const {
+double CoreConnections::settles_by(const Connection& connection) const {
   return connection.up ? connection.up_since + kGone : connection.since + settings_.connect_s;
 }
 
 // One that the list or its address has given up, with calls that stand: it cannot be called any more, and
 // silence is all that tells of its end.
-double CoreLinks::silence_ends_at() const {
+double CoreConnections::silence_ends_at() const {
   const bool left = address_lost_ || state_ == ServerEntry::State::kGone;
   return left && !standing_.empty() ? spoke_ + kGone : kNever;
 }
 
-void CoreLinks::up(ConnectionId which, double now) {
+void CoreConnections::up(ConnectionId which, double now) {
   const auto found = connections_.find(which);
   if (found == connections_.end()) return;
   ports_.core_connection(server_, which, ConnectionChange::kUp);
@@ -243,7 +243,7 @@
   }
 }
 
-void CoreLinks::down(ConnectionId which, ConnectionLoss loss, double now) {
+void CoreConnections::down(ConnectionId which, ConnectionLoss loss, double now) {
   const auto found = connections_.find(which);
   if (found == connections_.end()) return;
   const bool refused = loss == ConnectionLoss::kRefused;
@@ -252,7 +252,7 @@
   drop(which, loss, now);
 }
 
-void CoreLinks::drop(ConnectionId which, ConnectionLoss loss, double now) {
+void CoreConnections::drop(ConnectionId which, ConnectionLoss loss, double now) {
   const bool refused = loss == ConnectionLoss::kRefused;
   const auto found = connections_.find(which);
   const Connection gone = std::move(found->second);
@@ -294,7 +294,7 @@
   keep_up(now);
 }
 
-void CoreLinks::give_up_attempts(double now) {
+void CoreConnections::give_up_attempts(double now) {
   std::vector<std::uint64_t> written;
   for (const auto& [id, out] : out_) {
     if (out.written && connections_.count(out.on) != 0) written.push_back(id);
@@ -310,7 +310,7 @@
 
 // The process is gone: its calls are cut, nothing there can be released any more, and what is still open
 // leads nowhere.
-void CoreLinks::dead(const char* why, double now) {
+void CoreConnections::dead(const char* why, double now) {
   if (!idle()) ports_.core_gone(server_, why, standing_.size());
   // Should it be there after all, it must not hold what is told over here.
   const ConnectionId last_word = any_up();
@@ -339,25 +339,25 @@
 
 // A call that stood there unseen has ended with the process: it is not to be set up again. Where the server
 // has spoken since its release, it had that.
-void CoreLinks::tell_runs_over() {
+void CoreConnections::tell_runs_over() {
   for (const Unsettled& each : std::exchange(unsettled_, {})) {
     if (spoke_ < each.since + kReleaseInDoubt) ports_.core_run_over(each.who);
   }
 }
 
-void CoreLinks::note_unsettled(const Attempt& who, std::uint64_t id, double now) {
+void CoreConnections::note_unsettled(const Attempt& who, std::uint64_t id, double now) {
   if (unsettled_.size() >= kMostUnsettled) unsettled_.pop_front();
   unsettled_.push_back({who, id, now});
 }
 
 // The server has said that it holds nothing of the call's earlier attempts.
-void CoreLinks::settle_attempts(std::uint64_t id) {
+void CoreConnections::settle_attempts(std::uint64_t id) {
   unsettled_.erase(std::remove_if(unsettled_.begin(), unsettled_.end(),
                                   [id](const Unsettled& each) { return each.id == id; }),
                    unsettled_.end());
 }
 
-void CoreLinks::spoilt(ConnectionId which, const char* what, double now) {
+void CoreConnections::spoilt(ConnectionId which, const char* what, double now) {
   counts_.spoilt += 1;
   ports_.core_fault(server_, what);
   ports_.core_connection(server_, which, ConnectionChange::kUnreadable);
@@ -365,7 +365,7 @@
   drop(which, ConnectionLoss::kUnreadable, now);
 }
 
-void CoreLinks::received(ConnectionId from, std::string_view bytes, double now) {
+void CoreConnections::received(ConnectionId from, std::string_view bytes, double now) {
   auto found = connections_.find(from);
   if (found == connections_.end()) return;
   heard_ = now;
@@ -389,7 +389,7 @@
   }
 }
 
-MessageOwner CoreLinks::owner(ConnectionId from, std::uint64_t id) const {
+MessageOwner CoreConnections::owner(ConnectionId from, std::uint64_t id) const {
   const auto out = out_.find(id);
   // What comes on another connection than the attempt's own belongs to an earlier attempt.
   if (out != out_.end() && out->second.on == from && out->second.written) return MessageOwner::kAttempt;
@@ -398,7 +398,7 @@
   return MessageOwner::kUnknown;
 }
 
-void CoreLinks::take(ConnectionId from, const CoreMessage& message, double now) {
+void CoreConnections::take(ConnectionId from, const CoreMessage& message, double now) {
   using Type = CoreMessage::Type;
   switch (message.type) {
     case Type::kProgress:
@@ -422,7 +422,7 @@
   }
 }
 
-void CoreLinks::take_answer(ConnectionId from, const CoreMessage& message) {
+void CoreConnections::take_answer(ConnectionId from, const CoreMessage& message) {
   const MessageOwner whose = owner(from, message.id);
   ports_.core_message(server_, from, message, whose);
   switch (whose) {
@@ -445,7 +445,7 @@
   ports_.core_stood(who, message.description, message.report);
 }
 
-void CoreLinks::take_release(ConnectionId from, const CoreMessage& message, double now) {
+void CoreConnections::take_release(ConnectionId from, const CoreMessage& message, double now) {
   const MessageOwner whose = owner(from, message.id);
   ports_.core_message(server_, from, message, whose);
   Connection& connection = connections_.at(from);
@@ -469,7 +469,7 @@
   ports_.core_over(server_, message.id, !ended, message.report);
 }
 
-double CoreLinks::deadline() const {
+double CoreConnections::deadline() const {
   double due = kNever;
   for (const auto& [id, connection] : connections_) {
     if (!connection.up) due = std::min(due, connection.since + settings_.connect_s);
@@ -483,7 +483,7 @@
   return std::min({due, probe_at(), silence_ends_at()});
 }
 
-void CoreLinks::tick(double now) {
+void CoreConnections::tick(double now) {
   std::vector<ConnectionId> not_up;
   for (const auto& [id, connection] : connections_) {
     if (!connection.up && now >= connection.since + settings_.connect_s) not_up.push_back(id);
@@ -509,7 +509,7 @@
 }
 
 // One without set-ups that has been spoken on: what the server says on it meanwhile is still read.
-void CoreLinks::retire_one(double now) {
+void CoreConnections::retire_one(double now) {
   for (auto& [id, connection] : connections_) {
     const bool unused = connection.open.empty() && connection.waiting.empty();
     if (!unused || !connection.up || !connection.spoke || connection.retired) continue;
@@ -521,7 +521,7 @@
 }
 
 // A server that does not close what is retired can't be heard, or does not care: few are kept for it.
-void CoreLinks::close_retired(double now) {
+void CoreConnections::close_retired(double now) {
   std::vector<ConnectionId> over;
   std::size_t kept = 0;
   for (auto it = connections_.rbegin(); it != connections_.rend(); ++it) {
--- a/src/platform/core_links.hpp
+++ b/src/platform/core_connections.hpp
@@ -1,12 +1,12 @@
 // The connections to one core server, and what it holds of this proxy's calls: set-ups that wait for a
 // connection, set-ups out and on which connection, calls that stand, releases that it is owed.
 //
-// Pure: bytes and times in, calls of CorePorts out; no sockets, no clock. Closing a connection gives up every
-// set-up on it, so each gets one of its own while there is room, and a spoilt answer takes few with it. Calls
-// that stand belong to no connection: they end by what the server says on any, or when it is known to be
-// gone.
-#ifndef MINTROCK_SRC_PLATFORM_CORE_LINKS_HPP_
-#define MINTROCK_SRC_PLATFORM_CORE_LINKS_HPP_
+// Pure: bytes and times in, calls of CoreConnectionsDelegate out; no sockets, no clock. Closing a connection
+// gives up every set-up on it, so each gets one of its own while there is room, and a spoilt answer takes few
+// with it. Calls that stand belong to no connection: they end by what the server says on any, or when it is
+// known to be gone.
+#ifndef MINTROCK_SRC_PLATFORM_CORE_CONNECTIONS_HPP_
+#define MINTROCK_SRC_PLATFORM_CORE_CONNECTIONS_HPP_
 
 #include <cstdint>
 #include <deque>
@@ -21,7 +21,7 @@
 
 #include "mintrock/controller.hpp"
 #include "platform/core_codec.hpp"
-#include "platform/end_repeats.hpp"
+#include "platform/missed_end_tracker.hpp"
 
 namespace mintrock::platform {
 
@@ -60,9 +60,9 @@
   kUnknown,
 };
 
-class CorePorts {
+class CoreConnectionsDelegate {
  public:
-  virtual ~CorePorts() = default;
+  virtual ~CoreConnectionsDelegate() = default;
   // Begins a connection; what becomes of it is told by up() or down(), never before this returns.
   virtual ConnectionId connect_core(ServerId server) = 0;
   virtual void send_to_core(ConnectionId to, std::string_view bytes) = 0;
@@ -87,7 +87,7 @@
                             MessageOwner owner) = 0;
 };
 
-struct CoreCounts {
+struct CoreCounters {
   std::uint64_t connections = 0;
   std::uint64_t refused = 0;
   std::uint64_t not_up = 0;    // connections that did not come up in time
@@ -98,14 +98,15 @@
   std::uint64_t stranger = 0;  // answers under an id that nothing is out for
 };
 
-class CoreLinks {
+class CoreConnections {
  public:
   struct Settings {
     double connect_s = 0.5;
     std::size_t most = 8;  // connections
     std::uint64_t seed = 0;
   };
-  CoreLinks(ServerId server, const Settings& settings, CorePorts& ports, CoreCounts& counts)
+  CoreConnections(ServerId server, const Settings& settings, CoreConnectionsDelegate& ports,
+                  CoreCounters& counts)
       : server_(server), settings_(settings), ports_(ports), counts_(counts), random_(settings.seed) {}
 
   // ---- From the desk ----
@@ -152,7 +153,7 @@
     double retired_at = 0;
     double since = 0;  // begun
     double up_since = 0;
-    LineCutter cutter;
+    LineSplitter cutter;
     std::set<std::uint64_t> open;       // set-ups written, unanswered
     std::deque<std::uint64_t> waiting;  // set-ups to be written once it is up
     std::unordered_set<std::uint64_t>
@@ -209,8 +210,8 @@
 
   ServerId server_;
   Settings settings_;
-  CorePorts& ports_;
-  CoreCounts& counts_;
+  CoreConnectionsDelegate& ports_;
+  CoreCounters& counts_;
   ServerEntry::State state_ = ServerEntry::State::kReady;
   bool address_lost_ = false;
   std::map<ConnectionId, Connection> connections_;
@@ -224,7 +225,7 @@
   // that stops answers what is out, takes no connections, and tells neither.
   double serves_ = 0;
   bool refused_ = false;  // a connection was, since then
-  EndRepeats repeats_;
+  MissedEndTracker repeats_;
   double retry_at_ = 0;  // no connection is begun by itself before this
   double retry_gap_ = 0;
   std::minstd_rand random_;
@@ -233,4 +234,4 @@
 
 }  // namespace mintrock::platform
 
-#endif  // MINTROCK_SRC_PLATFORM_CORE_LINKS_HPP_
+#endif  // MINTROCK_SRC_PLATFORM_CORE_CONNECTIONS_HPP_
--- a/src/platform/log_names.hpp
+++ b/src/platform/log_names.hpp
@@ -4,7 +4,7 @@
 
 #include "mintrock/controller.hpp"
 #include "platform/caller_side.hpp"
-#include "platform/core_links.hpp"
+#include "platform/core_connections.hpp"
 
 namespace mintrock::platform {
 
--- a/src/platform/end_repeats.hpp
+++ b/src/platform/missed_end_tracker.hpp
@@ -11,8 +11,8 @@
 // one begun after that settles them.
 //
 // Pure: the owner tells of its connections, whose numbers grow.
-#ifndef MINTROCK_SRC_PLATFORM_END_REPEATS_HPP_
-#define MINTROCK_SRC_PLATFORM_END_REPEATS_HPP_
+#ifndef MINTROCK_SRC_PLATFORM_MISSED_END_TRACKER_HPP_
+#define MINTROCK_SRC_PLATFORM_MISSED_END_TRACKER_HPP_
 
 #include <cstdint>
 
@@ -20,7 +20,7 @@
 
 using ConnectionId = std::uint64_t;  // never used again
 
-class EndRepeats {
+class MissedEndTracker {
  public:
   // A server that is well tells its state at once on a new connection; this leaves it a busy moment.
   static constexpr double kPrompt = 0.2;  // s
@@ -72,4 +72,4 @@
 
 }  // namespace mintrock::platform
 
-#endif  // MINTROCK_SRC_PLATFORM_END_REPEATS_HPP_
+#endif  // MINTROCK_SRC_PLATFORM_MISSED_END_TRACKER_HPP_
--- a/src/platform/platform_edge.cpp
+++ b/src/platform/platform_edge.cpp
@@ -175,7 +175,7 @@
 
 void PlatformEdge::release(CallId id, std::uint32_t, ServerId server) {
   const auto found = calls_.find(id);
-  CoreLinks* const at = links(server);
+  CoreConnections* const at = links(server);
   if (found == calls_.end() || at == nullptr) return;
   log_event(info, "released", {{"call", hex_id(found->second.id)}, {"peer", identity(server)}});
   at->give_up(found->second.id, loop_.now());
@@ -291,7 +291,7 @@
     return "too many calls stand already";
   }
   const ServerId server = book_.number(setup.stands_at);
-  CoreLinks* const at = links(server);
+  CoreConnections* const at = links(server);
   taken_over_[setup.id] = at == nullptr ? 0 : server;
   if (at != nullptr) {
     at->take_over(setup.id);
@@ -311,7 +311,7 @@
   for (auto it = unlisted_.begin(); it != unlisted_.end();) {
     const auto taken = taken_over_.find(it->id);
     const ServerId server = book_.number(it->identity);
-    CoreLinks* const at = links(server);
+    CoreConnections* const at = links(server);
     const bool open = taken != taken_over_.end() && taken->second == 0;
     if (open && at != nullptr) {
       taken->second = server;
@@ -336,7 +336,7 @@
   if (found != ids_.end()) return desk_.hang_up(found->second, loop_.now());
   const auto taken = taken_over_.find(id);
   if (taken == taken_over_.end()) return false;
-  if (CoreLinks* const at = links(taken->second)) at->give_up(id, loop_.now());
+  if (CoreConnections* const at = links(taken->second)) at->give_up(id, loop_.now());
   taken_over_.erase(taken);
   remember(id);
   return true;
@@ -359,7 +359,7 @@
 
 // ---- Core servers ----
 
-CoreLinks* PlatformEdge::links(ServerId server) {
+CoreConnections* PlatformEdge::links(ServerId server) {
   const auto found = cores_.find(server);
   return found == cores_.end() ? nullptr : found->second.links.get();
 }
@@ -377,25 +377,25 @@
   } catch (const std::exception& error) {  // no descriptor
     log_event(warn, "core_connect_failed", {{"detail", error.what()}});
     loop_.defer([this, id, server] {
-      if (CoreLinks* const at = links(server)) at->down(id, ConnectionLoss::kNotUp, loop_.now());
+      if (CoreConnections* const at = links(server)) at->down(id, ConnectionLoss::kNotUp, loop_.now());
       watch();
     });
     return id;
   }
   core_streams_[id] = {server, stream};
   stream->set({[this, id, server] {
-                 if (CoreLinks* const at = links(server)) at->up(id, loop_.now());
+                 if (CoreConnections* const at = links(server)) at->up(id, loop_.now());
                  watch();
                },
                [this, id, server](std::string_view bytes) {
-                 if (CoreLinks* const at = links(server)) at->received(id, bytes, loop_.now());
+                 if (CoreConnections* const at = links(server)) at->received(id, bytes, loop_.now());
                  watch();
                },
                [this, id, server, raw = stream.get()](const std::string&) {
                  const ConnectionLoss loss =
                      raw->error() == ECONNREFUSED ? ConnectionLoss::kRefused : ConnectionLoss::kEnded;
                  core_streams_.erase(id);
-                 if (CoreLinks* const at = links(server)) at->down(id, loss, loop_.now());
+                 if (CoreConnections* const at = links(server)) at->down(id, loss, loop_.now());
                  sweep();
                  watch();
                }});
@@ -531,7 +531,7 @@
   std::string fault = "one before it is missing";
   try {
     const TopologyEvent news = parse_topology_event(event.data, config_.kinds);
-    verdict = order_.judge(news.offset, news.news.full);
+    verdict = order_.judge(news.offset, news.update.full);
     if (verdict == Verdict::kTake) take_news(news);
   } catch (const std::exception& error) {
     verdict = order_.unreadable();
@@ -548,15 +548,15 @@
 }
 
 void PlatformEdge::take_news(const TopologyEvent& event) {
-  for (const std::string& fault : event.news.faults) log_event(warn, "host_malformed", {{"detail", fault}});
+  for (const std::string& fault : event.update.faults) log_event(warn, "host_malformed", {{"detail", fault}});
   const double now = loop_.now();
   const double wall = net::wall_now();
-  const ServerList moved = book_.retire_moved(event.news);
-  if (!book_.take(event.news)) return;
+  const ServerList moved = book_.retire_moved(event.update);
+  if (!book_.take(event.update)) return;
   if (!moved.entries.empty()) desk_.list(moved, now);
   // Told to the Controller first: what is drained must be known before anything that waits is looked at
   // again.
-  desk_.list(book_.event(event.news, event.news.full ? ServerList::Mode::kFull : ServerList::Mode::kDelta,
+  desk_.list(book_.event(event.update, event.update.full ? ServerList::Mode::kFull : ServerList::Mode::kDelta,
                          now, wall),
              now);
   std::size_t alive = 0;
@@ -573,15 +573,15 @@
         cores_.erase(id);
         continue;
       }
-      core.links = std::make_unique<CoreLinks>(
-          id, CoreLinks::Settings{config_.connect_s, budget_.for_server(alive), config_.seed + id}, *this,
-          core_counts_);
+      core.links = std::make_unique<CoreConnections>(
+          id, CoreConnections::Settings{config_.connect_s, budget_.for_server(alive), config_.seed + id},
+          *this, core_counters_);
     }
     core.state = entry.state;
     core.links->set_state(entry.state, now);
   }
   // An address is the one's that was told to serve there last.
-  for (const list::Entry& entry : event.news.entries) {
+  for (const list::Entry& entry : event.update.entries) {
     const auto told = cores_.find(book_.number(entry.identity));
     if (told == cores_.end() || entry.state != ServerEntry::State::kReady) continue;
     for (auto& [other, old] : cores_) {
@@ -633,13 +633,13 @@
              {"ends_kept", text(c.ends_kept)},
              {"ends_dropped", text(c.ends_dropped)},
              {"ends_repeated", text(c.ends_repeated)},
-             {"core_lost", text(core_counts_.lost)},
-             {"core_refused", text(core_counts_.refused)},
-             {"core_not_up", text(core_counts_.not_up)},
-             {"core_spoilt", text(core_counts_.spoilt)},
-             {"core_late", text(core_counts_.late)},
-             {"core_doubled", text(core_counts_.doubled)},
-             {"core_stranger", text(core_counts_.stranger)}});
+             {"core_lost", text(core_counters_.lost)},
+             {"core_refused", text(core_counters_.refused)},
+             {"core_not_up", text(core_counters_.not_up)},
+             {"core_spoilt", text(core_counters_.spoilt)},
+             {"core_late", text(core_counters_.late)},
+             {"core_doubled", text(core_counters_.doubled)},
+             {"core_stranger", text(core_counters_.stranger)}});
   for (const auto& [id, core] : cores_) {
     log_event(info, "core",
               {{"peer", core.identity},
--- a/src/platform/platform_edge.hpp
+++ b/src/platform/platform_edge.hpp
@@ -17,7 +17,7 @@
 #include "net/loop.hpp"
 #include "platform/caller_side.hpp"
 #include "platform/config.hpp"
-#include "platform/core_links.hpp"
+#include "platform/core_connections.hpp"
 
 namespace mintrock::platform {
 
@@ -29,7 +29,7 @@
   std::size_t for_server(std::size_t servers) const;
 };
 
-class PlatformEdge : public edge::DeskPorts, public CallerPorts, public CorePorts {
+class PlatformEdge : public edge::DeskPorts, public CallerPorts, public CoreConnectionsDelegate {
  public:
   PlatformEdge(net::Loop& loop, Config config, std::string config_file);
   ~PlatformEdge() override;
@@ -41,7 +41,7 @@
   net::Address listening() const { return listener_->local(); }
   const CallerSide& callers() const { return callers_; }
   const edge::CallDesk& desk() const { return desk_; }
-  const CoreCounts& core_counts() const { return core_counts_; }
+  const CoreCounters& core_counters() const { return core_counters_; }
   std::size_t servers() const { return cores_.size(); }
   std::size_t calls() const { return calls_.size(); }
 
@@ -59,7 +59,7 @@
     net::Address address;
     std::string identity;
     ServerEntry::State state = ServerEntry::State::kReady;
-    std::unique_ptr<CoreLinks> links;
+    std::unique_ptr<CoreConnections> links;
   };
   struct CoreStream {
     ServerId server = 0;
@@ -88,7 +88,7 @@
   void caller_closed(ConnectionId which, CloseReason reason, std::size_t standing) override;
   void end_told(std::uint64_t id, ConnectionId to) override;
 
-  // ---- CorePorts ----
+  // ---- CoreConnectionsDelegate ----
   ConnectionId connect_core(ServerId server) override;
   void send_to_core(ConnectionId to, std::string_view bytes) override;
   void close_core(ConnectionId which) override;
@@ -115,7 +115,7 @@
   void remember(std::uint64_t id);
   void resolve_unlisted(double now);
   double unlisted_due() const;
-  CoreLinks* links(ServerId server);
+  CoreConnections* links(ServerId server);
   std::string identity(ServerId server) const;  // as the list names it; empty: not known
   void sweep();
   void tell_state();  // to the log, now and then
@@ -130,7 +130,7 @@
   list::Book book_;
   list::EventOrder order_;
   std::map<ServerId, Core> cores_;
-  CoreCounts core_counts_;
+  CoreCounters core_counters_;
   ConnectionId last_connection_ = 0;
   std::unordered_map<ConnectionId, std::shared_ptr<net::Stream>> caller_streams_;
   std::unordered_map<ConnectionId, CoreStream> core_streams_;
--- a/src/platform/topology.cpp
+++ b/src/platform/topology.cpp
@@ -49,20 +49,20 @@
   if (offset == parsed.end() || !offset->is_number_unsigned()) {
     throw std::runtime_error("the event has no number");
   }
-  out.offset = out.news.revision = offset->get<std::uint64_t>();
+  out.offset = out.update.revision = offset->get<std::uint64_t>();
   const auto topology = parsed.find("topology");
   if (topology == parsed.end() || !topology->is_object()) throw std::runtime_error("no topology");
   const auto whole = topology->find("whole");
-  out.news.full = whole != topology->end() && whole->is_boolean() && whole->get<bool>();
+  out.update.full = whole != topology->end() && whole->is_boolean() && whole->get<bool>();
   const auto hosts = topology->find("hosts");
   if (hosts == topology->end() || !hosts->is_array() || hosts->size() > kMostHosts) {
     throw std::runtime_error("hosts are missing, or too many");
   }
   for (std::size_t i = 0; i < hosts->size(); ++i) {
     try {
-      out.news.entries.push_back(parse_host((*hosts)[i], kinds));
+      out.update.entries.push_back(parse_host((*hosts)[i], kinds));
     } catch (const std::exception& error) {
-      out.news.faults.push_back("host " + std::to_string(i) + ": " + error.what());
+      out.update.faults.push_back("host " + std::to_string(i) + ": " + error.what());
     }
   }
   return out;
--- a/src/platform/topology.hpp
+++ b/src/platform/topology.hpp
@@ -14,8 +14,8 @@
 namespace mintrock::platform {
 
 struct TopologyEvent {
-  std::uint64_t offset = 0;  // its number; news.revision is the same
-  list::News news;
+  std::uint64_t offset = 0;  // its number; update.revision is the same
+  list::News update;
 };
 
 // `kinds`: names of the machine kinds, in order.
--- a/tests/lab/soak/core_server_test.cpp
+++ b/tests/lab/soak/core_server_test.cpp
@@ -95,7 +95,7 @@
   std::ostream trace{&watcher};
   Ledger ledger{Limits{}, &trace};
   CoreServer server{loop, loopback_of_process(getpid()), ledger, kServer, 1, always_well(), 1};
-  platform::LineCutter cutter;
+  platform::LineSplitter cutter;
   bool released = false;
 };
 
--- a/tests/platform/config_test.cpp
+++ b/tests/platform/config_test.cpp
@@ -79,7 +79,7 @@
   const Config config = parse_config(kConfig);
   EXPECT_EQ(config.offset, 4u);
   ASSERT_EQ(config.known.size(), 1u);
-  const list::News& news = config.known[0].news;
+  const list::News& news = config.known[0].update;
   EXPECT_TRUE(news.full);
   ASSERT_EQ(news.entries.size(), 2u);
   EXPECT_EQ(news.entries[0].identity, "s-1");
@@ -113,9 +113,9 @@
   }
   const auto change = parse_topology_event(
       R"({"offset":5,"topology":{"seq":7,"whole":false,"hosts":[{"host":"s-1","health":"DELETED"}]}})", {});
-  EXPECT_FALSE(change.news.full);
-  ASSERT_EQ(change.news.entries.size(), 1u);
-  EXPECT_EQ(change.news.entries[0].state, ServerEntry::State::kGone);
+  EXPECT_FALSE(change.update.full);
+  ASSERT_EQ(change.update.entries.size(), 1u);
+  EXPECT_EQ(change.update.entries[0].state, ServerEntry::State::kGone);
 }
 
 }  // namespace
--- a/tests/platform/core_codec_test.cpp
+++ b/tests/platform/core_codec_test.cpp
@@ -79,7 +79,7 @@
 }
 
 TEST(CoreCodec, CutsLinesAndStopsAtOneThatNeverEnds) {
-  LineCutter cutter;
+  LineSplitter cutter;
   cutter.feed("a\nb");
   EXPECT_EQ(cutter.next(), "a");
   EXPECT_FALSE(cutter.next());
--- a/tests/platform/core_links_test.cpp
+++ b/tests/platform/core_connections_test.cpp
@@ -1,5 +1,5 @@
 // The links to one core server against a scripted network, at virtual times.
-#include "platform/core_links.hpp"
+#include "platform/core_connections.hpp"
 
 #include <gtest/gtest.h>
 
@@ -16,7 +16,7 @@
 
 constexpr ServerId kServer = 3;
 
-struct World : CorePorts {
+struct World : CoreConnectionsDelegate {
   explicit World(std::size_t most = 4) : links(kServer, {0.5, most}, *this, counts) {
     links.set_state(ServerEntry::State::kReady, 0);
   }
@@ -121,11 +121,11 @@
   std::vector<std::string> events, faults;
   std::vector<Report> loads;
   std::function<void()> on_ended;
-  CoreCounts counts;
-  CoreLinks links;
+  CoreCounters counts;
+  CoreConnections links;
 };
 
-TEST(CoreLinks, AReadyServerIsConnectedToAndTellsItsState) {
+TEST(CoreConnections, AReadyServerIsConnectedToAndTellsItsState) {
   World w;
   EXPECT_EQ(w.begun.size(), 2u);
   w.all_up(0.1);
@@ -134,7 +134,7 @@
   EXPECT_EQ(w.loads[0].spare, 7);
 }
 
-TEST(CoreLinks, ASetupWaitsForItsConnectionAndEachGetsOneOfItsOwn) {
+TEST(CoreConnections, ASetupWaitsForItsConnectionAndEachGetsOneOfItsOwn) {
   World w;
   w.set_up(1, 0, 11, 0.05);
   EXPECT_EQ(w.where(11), 0u);
@@ -150,7 +150,7 @@
   EXPECT_NE(w.where(15), 0u);
 }
 
-TEST(CoreLinks, AnAnswerStandsAndItsSecondCopyIsNothing) {
+TEST(CoreConnections, AnAnswerStandsAndItsSecondCopyIsNothing) {
   World w;
   w.all_up(0);
   w.set_up(1, 0, 11, 0);
@@ -164,7 +164,7 @@
   EXPECT_TRUE(w.links.idle());
 }
 
-TEST(CoreLinks, AnAnswerUnderAnUnknownIdInFrontDoesNoHarm) {
+TEST(CoreConnections, AnAnswerUnderAnUnknownIdInFrontDoesNoHarm) {
   World w;
   w.all_up(0);
   w.set_up(1, 0, 11, 0);
@@ -174,7 +174,7 @@
   EXPECT_EQ(w.counts.stranger, 1u);
 }
 
-TEST(CoreLinks, RefusalsAreToldWithTheirCauseAndLoad) {
+TEST(CoreConnections, RefusalsAreToldWithTheirCauseAndLoad) {
   World w;
   w.all_up(0);
   w.set_up(1, 0, 11, 0);
@@ -185,7 +185,7 @@
 }
 
 // Guards against a late answer that stands at the server for ever, or is passed on.
-TEST(CoreLinks, ASetupGivenUpIsReleasedOnItsConnectionAndItsLateAnswerIsNothing) {
+TEST(CoreConnections, ASetupGivenUpIsReleasedOnItsConnectionAndItsLateAnswerIsNothing) {
   World w;
   w.all_up(0);
   w.set_up(1, 0, 11, 0);
@@ -198,7 +198,7 @@
   EXPECT_TRUE(w.links.idle());
 }
 
-TEST(CoreLinks, ARetryAtTheSameServerIsNotItsEarlierAttempt) {
+TEST(CoreConnections, ARetryAtTheSameServerIsNotItsEarlierAttempt) {
   World w;
   w.all_up(0);
   w.set_up(1, 0, 11, 0);
@@ -218,7 +218,7 @@
 }
 
 // One spoilt answer: the connection goes, each set-up on it is a reset once, what stands stays.
-TEST(CoreLinks, ASpoiltLineClosesItsConnectionAloneAndReleasesWhatWasOut) {
+TEST(CoreConnections, ASpoiltLineClosesItsConnectionAloneAndReleasesWhatWasOut) {
   World w(2);
   w.all_up(0);
   w.set_up(1, 0, 11, 0);
@@ -239,7 +239,7 @@
 }
 
 // The end of one set-up may make the desk give up another on the connection that is just being left.
-TEST(CoreLinks, WhatIsGivenUpWhileItsConnectionGoesLeavesNothing) {
+TEST(CoreConnections, WhatIsGivenUpWhileItsConnectionGoesLeavesNothing) {
   World w(1);
   w.all_up(0);
   w.set_up(1, 0, 11, 0);
@@ -258,7 +258,7 @@
   EXPECT_EQ(w.links.connections(), 1u);
 }
 
-TEST(CoreLinks, ALineThatNeverEndsClosesItsConnection) {
+TEST(CoreConnections, ALineThatNeverEndsClosesItsConnection) {
   World w;
   w.all_up(0);
   w.set_up(1, 0, 11, 0);
@@ -268,7 +268,7 @@
   EXPECT_EQ(w.events, std::vector<std::string>{World::ended(1, 0, Outcome::kReset)});
 }
 
-TEST(CoreLinks, ALostConnectionIsAResetAndIsMadeAnewForTheRelease) {
+TEST(CoreConnections, ALostConnectionIsAResetAndIsMadeAnewForTheRelease) {
   World w(1);
   w.all_up(0);
   w.set_up(1, 0, 11, 0);
@@ -284,7 +284,7 @@
   EXPECT_EQ(w.links.owed(), 0u);
 }
 
-TEST(CoreLinks, WhatStandsOutlivesItsConnection) {
+TEST(CoreConnections, WhatStandsOutlivesItsConnection) {
   World w(1);
   w.all_up(0);
   w.set_up(1, 0, 11, 0);
@@ -298,7 +298,7 @@
   EXPECT_EQ(w.events, std::vector<std::string>{"cut 11"});
 }
 
-TEST(CoreLinks, ARefusedConnectionMeansThatNothingRanAndWhatStoodWasCut) {
+TEST(CoreConnections, ARefusedConnectionMeansThatNothingRanAndWhatStoodWasCut) {
   World w(1);
   w.all_up(0);
   w.set_up(1, 0, 11, 0);
@@ -319,7 +319,7 @@
 // calls were released that still stood at servers that drained.
 // Trials with five proxies: a process died with an answer pending, its set-up was a reset and was made again
 // elsewhere, and nobody was told of the end of the run that nobody saw.
-TEST(CoreLinks, WhatMayHaveStoodUnseenIsOverWithItsProcess) {
+TEST(CoreConnections, WhatMayHaveStoodUnseenIsOverWithItsProcess) {
   World w;
   w.stand();
   for (CallId call = 2; call <= 5; ++call) w.set_up(call, 0, 10 + call, 0.2);
@@ -340,7 +340,7 @@
 
 // The next attempt of the call waits at the same server when its process is found to be gone: told first, its
 // failure would be a refusal, as of a call that never ran.
-TEST(CoreLinks, WhatMayHaveStoodUnseenIsOverBeforeItsNextAttemptFails) {
+TEST(CoreConnections, WhatMayHaveStoodUnseenIsOverBeforeItsNextAttemptFails) {
   World w;
   w.all_up(0);
   w.set_up(2, 0, 12, 0.1);
@@ -353,7 +353,7 @@
 }
 
 // A drained server that ends long after a set-up was given up there holds nothing of it.
-TEST(CoreLinks, WhatWasGivenUpAtAServerThatSpokeSinceIsNotOverWithItsProcess) {
+TEST(CoreConnections, WhatWasGivenUpAtAServerThatSpokeSinceIsNotOverWithItsProcess) {
   World w;
   w.stand();
   w.set_up(2, 0, 12, 0.2);
@@ -365,7 +365,7 @@
   EXPECT_EQ(w.events, std::vector<std::string>{"cut 11"});
 }
 
-TEST(CoreLinks, ARefusalBesideAQuietConnectionCountsOnlyAfterAWhile) {
+TEST(CoreConnections, ARefusalBesideAQuietConnectionCountsOnlyAfterAWhile) {
   World w;
   w.stand();
   const double now = w.run(0.1, 8, w.refused, [&] { return !w.events.empty(); });
@@ -375,7 +375,7 @@
 }
 
 // A server that goes on speaking has only taken enough connections.
-TEST(CoreLinks, ARefusedConnectionOfAServerThatSpeaksCutsNothing) {
+TEST(CoreConnections, ARefusedConnectionOfAServerThatSpeaksCutsNothing) {
   World w;
   w.all_up(0);
   w.set_up(1, 0, 11, 0);
@@ -390,7 +390,7 @@
 
 // join+mass, seed 2: a server that stopped refused connections from 12.46 s and still answered a set-up that
 // was out at 14.76 s; a call that had ended with its stop at 11.46 s was told over at 19.76 s.
-TEST(CoreLinks, LateAnswersOfAServerThatStopsPutNoEndsOff) {
+TEST(CoreConnections, LateAnswersOfAServerThatStopsPutNoEndsOff) {
   World w;
   w.stand();
   w.set_up(2, 0, 12, 0.2);
@@ -404,7 +404,7 @@
 }
 
 // It holds as many connections as it can: what is refused there is no dead server.
-TEST(CoreLinks, AFullServerThatTellsItsStateKeepsItsCalls) {
+TEST(CoreConnections, AFullServerThatTellsItsStateKeepsItsCalls) {
   World w;
   w.stand();
   for (double now = 1; now < 30; now += 1) {
@@ -417,7 +417,7 @@
 
 // A server repeats an end on the next connection that is opened. The end may go down with the one that it was
 // told on (split+mass), or in a cut; the others, kept for what is out on them, speak as if nothing had been.
-TEST(CoreLinks, AfterALossOrACutANewConnectionIsOpenedThoughOthersSpeak) {
+TEST(CoreConnections, AfterALossOrACutANewConnectionIsOpenedThoughOthersSpeak) {
   for (const bool cut : {false, true}) {
     World w;
     w.stand();
@@ -445,7 +445,7 @@
 // Connections that came up before the loss, or that the server speaks on only later, were opened before ends
 // that may have been lost; the repeat comes on one that is opened after them. The server speaks all the while
 // on another connection: nothing but the doubt asks for a new one.
-TEST(CoreLinks, OnlyAConnectionThatIsBegunAfterTheLossAndSpeaksAtOnceBringsLostEnds) {
+TEST(CoreConnections, OnlyAConnectionThatIsBegunAfterTheLossAndSpeaksAtOnceBringsLostEnds) {
   World w;
   w.stand();
   w.speak(1, 0.1);
@@ -472,7 +472,7 @@
 
 // Soak seed 164: an edge proxy restarted just before the end of a silence took the connections that it had
 // opened in it for proof that lost ends had come. The server learns of its former life's end only then.
-TEST(CoreLinks, AfterARestartOnlyAConnectionThatIsBegunOnceTheServerWasHeardBringsLostEnds) {
+TEST(CoreConnections, AfterARestartOnlyAConnectionThatIsBegunOnceTheServerWasHeardBringsLostEnds) {
   World w;
   w.all_up(0);
   w.links.take_over(11);
@@ -492,7 +492,7 @@
   EXPECT_EQ(w.last, after) << "then it is settled";
 }
 
-TEST(CoreLinks, AProxyWithoutCallsOfAFormerLifeNeedsNoFurtherConnection) {
+TEST(CoreConnections, AProxyWithoutCallsOfAFormerLifeNeedsNoFurtherConnection) {
   World w;
   w.stand();
   const ConnectionId first = w.last;
@@ -502,7 +502,7 @@
 
 // One that makes room is read until the server ends it, by a reset too: a doubt then would ask for the next
 // connection, which makes room again, without end. Where its bytes can't be read, an end may go down with it.
-TEST(CoreLinks, ARetiredConnectionLeavesADoubtOnlyWhereItIsUnreadable) {
+TEST(CoreConnections, ARetiredConnectionLeavesADoubtOnlyWhereItIsUnreadable) {
   for (const bool unreadable : {false, true}) {
     World w;
     w.stand();
@@ -535,7 +535,7 @@
 }
 
 // The list or the address has given it up, and its connections stay open and silent: nothing else will tell.
-TEST(CoreLinks, SilentConnectionsOfAServerThatLeftEndItsCallsInTime) {
+TEST(CoreConnections, SilentConnectionsOfAServerThatLeftEndItsCallsInTime) {
   for (const bool moved : {false, true}) {
     World w;
     w.stand();
@@ -552,7 +552,7 @@
 }
 
 // Something takes connections in its place and ends them: no refusal, no silence, and nobody there.
-TEST(CoreLinks, ConnectionsThatEndWithoutAWordMeanThatTheProcessIsGone) {
+TEST(CoreConnections, ConnectionsThatEndWithoutAWordMeanThatTheProcessIsGone) {
   World w;
   w.stand();
   w.say(1, "state", 0, "", 0.2);
@@ -569,7 +569,7 @@
 }
 
 // A release may go down with the connection that it was written on, and its call would stand for ever.
-TEST(CoreLinks, AReleaseInDoubtIsSentAgainUnlessItWasHeard) {
+TEST(CoreConnections, AReleaseInDoubtIsSentAgainUnlessItWasHeard) {
   for (const bool heard : {false, true}) {
     World w;
     w.stand();
@@ -586,7 +586,7 @@
 
 // Reset days with five proxies, seed 1: the release of a lost attempt was repeated after the call stood there
 // by the next attempt, and cut it.
-TEST(CoreLinks, TheReleaseOfAnEarlierAttemptIsNotRepeatedOnceTheCallStands) {
+TEST(CoreConnections, TheReleaseOfAnEarlierAttemptIsNotRepeatedOnceTheCallStands) {
   for (const bool stands : {false, true}) {
     World w;
     w.all_up(0);
@@ -608,7 +608,7 @@
 
 // Days with five proxies: an attempt stayed out for 9 s at a server that took no connections and said
 // nothing; its call had stood and ended there meanwhile.
-TEST(CoreLinks, AttemptsAtAServerThatIsQuietAndTakesNoConnectionsAreGivenUp) {
+TEST(CoreConnections, AttemptsAtAServerThatIsQuietAndTakesNoConnectionsAreGivenUp) {
   World w;
   w.stand();
   w.set_up(2, 0, 12, 1);
@@ -622,7 +622,7 @@
 }
 
 // An attempt was given up on one connection, and the call stood after all, by another.
-TEST(CoreLinks, TheEndOfACallThatStandsIsHeardWhereAnAttemptOfItWasGivenUp) {
+TEST(CoreConnections, TheEndOfACallThatStandsIsHeardWhereAnAttemptOfItWasGivenUp) {
   World w;
   w.all_up(0);
   w.set_up(1, 0, 11, 0);
@@ -641,7 +641,7 @@
 }
 
 // A vanished machine: open connections stay open and quiet, new ones never come up. Told within 8 s.
-TEST(CoreLinks, AVanishedMachineIsFoundOutByConnectionsThatNeverComeUp) {
+TEST(CoreConnections, AVanishedMachineIsFoundOutByConnectionsThatNeverComeUp) {
   World w;
   w.stand();
   const double now = w.run(0.1, 8, w.silence, [&] { return !w.events.empty(); });
@@ -650,7 +650,7 @@
 }
 
 // And one that only hangs still takes connections: its calls stand.
-TEST(CoreLinks, AQuietServerThatTakesConnectionsKeepsItsCalls) {
+TEST(CoreConnections, AQuietServerThatTakesConnectionsKeepsItsCalls) {
   World w;
   w.stand();
   for (double now = 0.1; now < 60; now += 0.05) {
@@ -661,7 +661,7 @@
   EXPECT_LE(w.links.connections(), 4u);
 }
 
-TEST(CoreLinks, AConnectionThatDoesNotComeUpNeverRan) {
+TEST(CoreConnections, AConnectionThatDoesNotComeUpNeverRan) {
   World w;
   w.set_up(1, 0, 11, 0.1);
   w.links.tick(0.6);
@@ -670,7 +670,7 @@
 }
 
 // Rule three: a set-up that waits for its connection must not go out once the server drains.
-TEST(CoreLinks, NothingThatWaitsGoesOutToADrainingServer) {
+TEST(CoreConnections, NothingThatWaitsGoesOutToADrainingServer) {
   World w;
   w.set_up(1, 0, 11, 0.1);
   w.links.set_state(ServerEntry::State::kDraining, 0.2);
@@ -679,7 +679,7 @@
   EXPECT_EQ(w.where(11), 0u);
 }
 
-TEST(CoreLinks, AServerThatIsGoneIsLeftOnceItHoldsNothing) {
+TEST(CoreConnections, AServerThatIsGoneIsLeftOnceItHoldsNothing) {
   World w;
   w.all_up(0);
   w.set_up(1, 0, 11, 0);
@@ -696,7 +696,7 @@
 
 // A new id at its address: nothing of the old one's is sent there, and its calls are over with its
 // connections.
-TEST(CoreLinks, OneWhoseAddressIsAnothersIsNotCalledAnyMore) {
+TEST(CoreConnections, OneWhoseAddressIsAnothersIsNotCalledAnyMore) {
   World w;
   w.stand();
   w.links.set_state(ServerEntry::State::kGone, 0.2);
@@ -710,7 +710,7 @@
   EXPECT_TRUE(w.begun.empty());
 }
 
-TEST(CoreLinks, TablesAreEmptyAfterChurn) {
+TEST(CoreConnections, TablesAreEmptyAfterChurn) {
   World w;
   w.all_up(0);
   double now = 0;
--- a/tests/platform/platform_edge_test.cpp
+++ b/tests/platform/platform_edge_test.cpp
@@ -61,7 +61,7 @@
     return out;
   }
   std::vector<std::shared_ptr<net::Stream>> streams;
-  std::deque<LineCutter> cutters;
+  std::deque<LineSplitter> cutters;
   std::vector<json> got;
   std::function<void(std::size_t, const std::string&)> reply =
       [this](std::size_t place, const std::string& id) { answer(place, id); };
@@ -244,7 +244,7 @@
   ASSERT_TRUE(stage.until([&] { return !caller.got.empty(); }, 1));
   EXPECT_EQ(caller.got[0].type, 12);
   EXPECT_EQ(caller.got[0].cause, 41);
-  stage.until([&] { return stage.edge->core_counts().stranger == 1; }, 2);
+  stage.until([&] { return stage.edge->core_counters().stranger == 1; }, 2);
   EXPECT_EQ(stage.core.count("setup"), 1u);
   EXPECT_EQ(caller.got.size(), 1u);
   EXPECT_EQ(stage.edge->calls(), 0u);
@@ -531,8 +531,8 @@
   EXPECT_EQ(counts.refused + counts.failed + ends, caller.count(12));
   EXPECT_EQ(stage.edge->desk().standing(), standing.size());
   EXPECT_GT(counts.refused, 0u);
-  EXPECT_GT(stage.edge->core_counts().spoilt, 0u);
-  EXPECT_GT(stage.edge->core_counts().doubled, 0u);
+  EXPECT_GT(stage.edge->core_counters().spoilt, 0u);
+  EXPECT_GT(stage.edge->core_counters().doubled, 0u);
 }
 
 TEST(PlatformEdge, HundredsOfCallsAndConnectionsLeaveNothing) {
