--- a/src/platform/core_codec.cpp
+++ b/src/platform/core_codec.cpp
@@ -12,7 +12,7 @@
 
 using nlohmann::json;
 
-// A field's text, whether it came as a string or as a number; none for any other type.
+// Returns a field's text, whether it is a string or a number; none for any other type.
 std::optional<std::string> text_of(const json& value) {
   if (value.is_string()) return value.get<std::string>();
   if (value.is_number()) return value.dump();
@@ -34,22 +34,22 @@
 
 std::optional<std::string_view> LineSplitter::next() {
   if (too_long_) return std::nullopt;
-  if (at_ > 0 && (at_ == buffer_.size() || at_ >= kMostMessage)) {
-    buffer_.erase(0, at_);
-    at_ = 0;
+  if (position_ > 0 && (position_ == buffer_.size() || position_ >= kMostMessage)) {
+    buffer_.erase(0, position_);
+    position_ = 0;
   }
-  const std::size_t end = buffer_.find('\n', at_);
-  const std::size_t size = (end == std::string::npos ? buffer_.size() : end) - at_;
+  const std::size_t end = buffer_.find('\n', position_);
+  const std::size_t size = (end == std::string::npos ? buffer_.size() : end) - position_;
   if (size >= kMostMessage) {
     too_long_ = true;
     buffer_.clear();
     buffer_.shrink_to_fit();
-    at_ = 0;
+    position_ = 0;
     return std::nullopt;
   }
   if (end == std::string::npos) return std::nullopt;
-  const std::string_view line = std::string_view(buffer_).substr(at_, size);
-  at_ = end + 1;
+  const std::string_view line = std::string_view(buffer_).substr(position_, size);
+  position_ = end + 1;
   return line;
 }
 
@@ -62,21 +62,21 @@
     const std::size_t colon = item.find(':');
     if (colon == std::string_view::npos) continue;
     const auto value = instance::read_finite(item.substr(colon + 1));
-    if (!value || *value < 0) continue;  // below 0 is how 'not known' is written
+    if (!value || *value < 0) continue;  // a negative value means 'unknown'
     instance::put_figure(report, instance::field_named(item.substr(0, colon)), *value);
   }
   return report;
 }
 
-std::optional<CoreMessage> read_core_message(std::string_view line, const char*& why) {
+std::optional<CoreMessage> read_core_message(std::string_view line, const char*& error) {
   const auto fault = [&](const char* what) {
-    why = what;
+    error = what;
     return std::nullopt;
   };
   const json parsed = json::parse(line, nullptr, false);
-  if (!parsed.is_object()) return fault("no JSON object");
+  if (!parsed.is_object()) return fault("not a JSON object");
   const auto type_text = parsed.find("type");
-  if (type_text == parsed.end() || !type_text->is_string()) return fault("no type");
+  if (type_text == parsed.end() || !type_text->is_string()) return fault("missing type");
   const auto type = type_of(type_text->get_ref<const std::string&>());
   if (!type) return fault("unknown type");
   CoreMessage out;
@@ -86,26 +86,26 @@
   if (id != parsed.end() && id->is_string()) {
     out.id = read_hex_id(id->get_ref<const std::string&>()).value_or(0);
   }
-  if (names_call && out.id == 0) return fault("no id");
+  if (names_call && out.id == 0) return fault("missing or invalid id");
   const auto cause = parsed.find("cause");
   if (cause != parsed.end()) {
-    if (!cause->is_number_integer()) return fault("a cause that is no number");
+    if (!cause->is_number_integer()) return fault("cause is not an integer");
     const auto value = cause->get<std::int64_t>();
-    if (value < 0 || value > 255) return fault("a cause out of range");
+    if (value < 0 || value > 255) return fault("cause out of range");
     out.cause = static_cast<int>(value);
   }
   const auto description = parsed.find("sdp");
   if (description != parsed.end()) {
-    if (!description->is_string()) return fault("a description that is no text");
+    if (!description->is_string()) return fault("sdp is not a string");
     out.description = description->get<std::string>();
   }
-  if (out.type == CoreMessage::Type::kAnswer && out.description.empty()) return fault("no description");
+  if (out.type == CoreMessage::Type::kAnswer && out.description.empty()) return fault("missing or empty sdp");
   const auto fields = parsed.find("fields");
   if (fields == parsed.end()) return out;
-  if (!fields->is_object()) return fault("fields that are no object");
+  if (!fields->is_object()) return fault("fields is not an object");
   for (const auto& [name, value] : fields->items()) {
     const auto text = text_of(value);
-    if (!text) return fault("a field that is neither text nor number");
+    if (!text) return fault("a field is neither a string nor a number");
     if (name == "note") {
       out.note = *text;
     } else if (name == "waited") {
@@ -130,20 +130,20 @@
          "}\n";
 }
 
-Ending ending_before_answer(int cause, std::string_view note) {
-  const Cause why = note == "all_trunks_busy" ? Cause::kNoLine
-                    : note == "cpu_full"      ? Cause::kProcessorFull
-                    : note == "number_busy"   ? Cause::kNumberBusy
-                                              : Cause::kNone;
+AttemptResult result_before_answer(int cause, std::string_view note) {
+  const Cause refusal_cause = note == "all_trunks_busy" ? Cause::kNoLine
+                              : note == "cpu_full"      ? Cause::kProcessorFull
+                              : note == "number_busy"   ? Cause::kNumberBusy
+                                                        : Cause::kNone;
   switch (cause) {
     case kCauseNoCircuit:
-      return {Outcome::kFull, why};
+      return {Outcome::kFull, refusal_cause};
     case kCauseNumberBusy:
     case kCauseUnavailable:
-      return {Outcome::kError, why};
+      return {Outcome::kError, refusal_cause};
     case kCauseTimer:
-      return {Outcome::kNotSent, why};
-    case kCauseNormal:  // it has stood and come to its end; its answer is late, or lost
+      return {Outcome::kNotSent, refusal_cause};
+    case kCauseNormal:  // the call was established and has ended; its answer is late or lost
       return {Outcome::kEnded, Cause::kNone};
     default:
       return {Outcome::kReset, Cause::kNone};
--- a/src/platform/core_codec.hpp
+++ b/src/platform/core_codec.hpp
@@ -1,7 +1,8 @@
-// The JSON lines between an edge proxy and core servers: cut from a stream, read, written.
+// The JSON lines between an edge proxy and core servers: splits a byte stream into lines, parses and formats
+// messages.
 //
-// Pure: bytes in, messages out. Anything that is no message of the protocol is told as one fault; nothing
-// throws, and a line that never ends is a fault at the protocol's bound.
+// Pure: does no I/O and reads no clock. A line that is not a valid message of the protocol yields one error
+// text; nothing throws. A line that exceeds the protocol's size limit is an error.
 #ifndef MINTROCK_SRC_PLATFORM_CORE_CODEC_HPP_
 #define MINTROCK_SRC_PLATFORM_CORE_CODEC_HPP_
 
@@ -28,32 +29,32 @@
 class LineSplitter {
  public:
   void feed(std::string_view bytes) { buffer_.append(bytes); }
-  // The next whole line, good until the next call.
+  // Returns the next complete line, valid until the next call.
   std::optional<std::string_view> next();
   bool too_long() const { return too_long_; }
 
  private:
   std::string buffer_;
-  std::size_t at_ = 0;
+  std::size_t position_ = 0;
   bool too_long_ = false;
 };
 
-// Null with a fault's name in `why` for what a core server may not send.
-std::optional<CoreMessage> read_core_message(std::string_view line, const char*& why);
+// Parses a message from a core server. Returns nothing and sets `error` if the line is malformed.
+std::optional<CoreMessage> read_core_message(std::string_view line, const char*& error);
 
-// A load report as in "spare:12;total:40"; names that are not known say nothing.
+// Parses a load report such as "spare:12;total:40"; unknown names and negative values are ignored.
 Report read_report(std::string_view text);
 
 std::string write_core_setup(std::uint64_t id, std::string_view service_class, std::string_view number,
                              std::uint32_t left_ms, std::string_view description);
 std::string write_core_release(std::uint64_t id, int cause);
 
-// How an attempt that a release ended before the answer is told to the decisions.
-struct Ending {
+// The result of an attempt that a release ended before the answer, as the Controller takes it.
+struct AttemptResult {
   Outcome outcome = Outcome::kReset;
   Cause cause = Cause::kNone;
 };
-Ending ending_before_answer(int cause, std::string_view note);
+AttemptResult result_before_answer(int cause, std::string_view note);
 
 }  // namespace mintrock::platform
 
--- a/src/platform/core_connections.cpp
+++ b/src/platform/core_connections.cpp
@@ -9,531 +9,556 @@
 namespace mintrock::platform {
 namespace {
 
-constexpr std::size_t kKept = 2;     // connections kept up to a ready server: the group's state comes on them
-constexpr double kRetryFirst = 0.1;  // s until a lost connection is made anew, doubling
-constexpr double kRetryLongest = 1.0;
-// With this long nothing heard from a server that holds calls, a new connection shows whether it is there.
-constexpr double kQuiet = 1.5;  // s
-// A process that serves nobody, or a machine that takes no connection, for so long is gone: ends are due
-// within 8 s.
-constexpr double kGone = 5.0;         // s
-constexpr double kOweRelease = 30.0;  // s; by then the call has ended there by itself
-constexpr std::size_t kMostOwed = 4096;
-constexpr std::size_t kMostGivenUp = 1024;  // ids of late answers that one connection remembers
-// A release that was written on a connection shortly before its loss may not have arrived: it is sent again.
-constexpr double kReleaseInDoubt = 1.0;  // s
-constexpr std::size_t kMostReleased = 256;
-constexpr std::size_t kMostUnsettled = 256;
+// Connections kept open to a ready server: it sends the state of its trunk group on them. As many retired
+// ones are kept at most.
+constexpr std::size_t kMinConnections = 2;
+// Delay until a lost connection is reopened; doubles up to the maximum.
+constexpr double kInitialRetryDelay = 0.1;  // s
+constexpr double kMaxRetryDelay = 1.0;      // s
+// A server that holds calls and has sent nothing for this long is probed with a new connection.
+constexpr double kQuietTimeout = 1.5;  // s
+// A process that serves no calls, or a machine that accepts no connections, for this long is taken for gone:
+// the end of a call must be reported to its caller within 8 s.
+constexpr double kGoneTimeout = 5.0;         // s
+constexpr double kPendingReleaseTtl = 30.0;  // s; by then the call has ended at the server by itself
+constexpr std::size_t kMaxPendingReleases = 4096;
+constexpr std::size_t kMaxAbandoned = 1024;  // ids of abandoned attempts that one connection remembers
+// A release that was written to a connection shortly before its loss may not have arrived: it is sent again.
+constexpr double kReleaseUnconfirmed = 1.0;  // s
+constexpr std::size_t kMaxSentReleases = 256;
+constexpr std::size_t kMaxUnconfirmedAttempts = 256;
 constexpr double kNever = std::numeric_limits<double>::infinity();
 
 }  // namespace
 
 CoreConnections::Connection& CoreConnections::open_connection(double now) {
-  const ConnectionId id = ports_.connect_core(server_);
-  counts_.connections += 1;
-  ports_.core_connection(server_, id, ConnectionChange::kBegun);
-  repeats_.connection_begun(id);
+  const ConnectionId id = delegate_.connect_core(server_);
+  counters_.connections += 1;
+  delegate_.core_connection_changed(server_, id, ConnectionChange::kStarted);
+  missed_ends_.connection_started(id);
   Connection& connection = connections_[id];
-  connection.since = now;
-  if (spoke_ == 0) spoke_ = now;  // counted from when it was first called
+  connection.started_at = now;
+  if (last_line_at_ == 0) last_line_at_ = now;  // the silence is measured from the first connection
   return connection;
 }
 
-// An idle connection, else a new one, else the one with the fewest set-ups.
-ConnectionId CoreConnections::pick(double now) {
+// Returns an idle connection, else a new one, else the one with the fewest set-ups; 0 if there is none.
+ConnectionId CoreConnections::select_connection(double now) {
   ConnectionId best = 0;
   std::size_t fewest = 0;
   for (const auto& [id, connection] : connections_) {
     if (connection.retired) continue;
-    const std::size_t load = connection.open.size() + connection.waiting.size() + (connection.up ? 0 : 1);
+    const std::size_t load = connection.in_flight.size() + connection.queued.size() + (connection.up ? 0 : 1);
     if (best == 0 || load < fewest) {
       best = id;
       fewest = load;
     }
   }
-  if (best != 0 && (fewest == 0 || in_use() >= settings_.most)) return best;
-  if (address_lost_) return best;
+  if (best != 0 && (fewest == 0 || active_connections() >= settings_.max_connections)) return best;
+  if (address_reassigned_) return best;
   open_connection(now);
   return connections_.rbegin()->first;
 }
 
-ConnectionId CoreConnections::any_up() const {
+ConnectionId CoreConnections::any_usable() const {
   for (const auto& [id, connection] : connections_) {
     if (connection.up && !connection.retired) return id;
   }
   return 0;
 }
 
-std::size_t CoreConnections::in_use() const {
+std::size_t CoreConnections::active_connections() const {
   std::size_t count = 0;
   for (const auto& [id, connection] : connections_) count += !connection.retired;
   return count;
 }
 
-void CoreConnections::set_up(const Attempt& who, std::uint64_t id, std::string line, double now) {
-  const ConnectionId on = pick(now);
-  if (on == 0) return ports_.core_ended(who, Outcome::kConnectFailed, Cause::kNone, 0, {});
+void CoreConnections::set_up(const AttemptId& attempt, std::uint64_t id, std::string message, double now) {
+  const ConnectionId on = select_connection(now);
+  if (on == 0) return delegate_.core_attempt_ended(attempt, Outcome::kConnectFailed, Cause::kNone, 0, {});
   Connection& connection = connections_[on];
-  Out& out = out_[id];
-  out = {who, on, connection.up, std::move(line)};
-  // An earlier attempt of the same call may have been given up here: its late answer came before this one.
-  connection.given_up.erase(id);
+  InFlight& entry = in_flight_[id];
+  entry = {attempt, on, connection.up, std::move(message)};
+  // An earlier attempt of the same call may have been abandoned on this connection: a late answer to it came
+  // before this set-up, and an answer that follows belongs to the new attempt.
+  connection.abandoned.erase(id);
   if (connection.up) {
-    connection.open.insert(id);
-    ports_.send_to_core(on, out.line);
-    out.line.clear();
+    connection.in_flight.insert(id);
+    delegate_.send_to_core(on, entry.message);
+    entry.message.clear();
   } else {
-    connection.waiting.push_back(id);
+    connection.queued.push_back(id);
   }
 }
 
-void CoreConnections::release(std::uint64_t id, ConnectionId on, double now) {
-  if (on == 0) on = any_up();
+void CoreConnections::send_or_queue_release(std::uint64_t id, ConnectionId on, double now) {
+  if (on == 0) on = any_usable();
   if (on != 0) return send_release(id, on, now);
-  if (owed_.size() >= kMostOwed) owed_.pop_front();
-  owed_.push_back({id, now + kOweRelease});
-  keep_up(now);
+  if (pending_releases_.size() >= kMaxPendingReleases) pending_releases_.pop_front();
+  pending_releases_.push_back({id, now + kPendingReleaseTtl});
+  maintain_connections(now);
 }
 
 void CoreConnections::send_release(std::uint64_t id, ConnectionId on, double now) {
-  std::deque<Released>& released = connections_.at(on).released;
-  while (!released.empty() &&
-         (released.front().at + kReleaseInDoubt <= now || released.size() >= kMostReleased)) {
-    released.pop_front();
+  std::deque<SentRelease>& sent_releases = connections_.at(on).sent_releases;
+  while (!sent_releases.empty() && (sent_releases.front().at + kReleaseUnconfirmed <= now ||
+                                    sent_releases.size() >= kMaxSentReleases)) {
+    sent_releases.pop_front();
   }
-  released.push_back({id, now});
-  ports_.send_to_core(on, write_core_release(id, kCauseNormal));
+  sent_releases.push_back({id, now});
+  delegate_.send_to_core(on, write_core_release(id, kCauseNormal));
 }
 
-std::size_t CoreConnections::releases_in_doubt(double now) const {
+std::size_t CoreConnections::unconfirmed_releases(double now) const {
   std::size_t count = 0;
   for (const auto& [which, connection] : connections_) {
-    for (const Released& each : connection.released) count += now < each.at + kReleaseInDoubt;
+    for (const SentRelease& each : connection.sent_releases) count += now < each.at + kReleaseUnconfirmed;
   }
   return count;
 }
 
-void CoreConnections::give_up(std::uint64_t id, double now) {
-  const auto found = out_.find(id);
-  if (found == out_.end()) {
-    if (standing_.erase(id) != 0) release(id, 0, now);
+void CoreConnections::release_call(std::uint64_t id, double now) {
+  const auto found = in_flight_.find(id);
+  if (found == in_flight_.end()) {
+    if (established_.erase(id) != 0) send_or_queue_release(id, 0, now);
     return;
   }
   const ConnectionId on = found->second.on;
   const bool written = found->second.written;
-  if (written) note_unsettled(found->second.who, id, now);
-  out_.erase(found);
-  // Its connection may be gone already: the end of one set-up on it can make the desk give up the next.
+  if (written) add_unconfirmed(found->second.attempt, id, now);
+  in_flight_.erase(found);
+  // The connection may be removed already: the end of one set-up on it can make the call manager release the
+  // next one.
   const auto connection = connections_.find(on);
   if (!written) {
     if (connection == connections_.end()) return;
-    std::deque<std::uint64_t>& waiting = connection->second.waiting;
-    waiting.erase(std::remove(waiting.begin(), waiting.end(), id), waiting.end());
+    std::deque<std::uint64_t>& queued = connection->second.queued;
+    queued.erase(std::remove(queued.begin(), queued.end(), id), queued.end());
     return;
   }
-  if (connection == connections_.end()) return release(id, 0, now);
-  connection->second.open.erase(id);
-  std::unordered_set<std::uint64_t>& given_up = connection->second.given_up;
-  if (given_up.size() >= kMostGivenUp) given_up.clear();
-  given_up.insert(id);
-  release(id, on, now);
+  if (connection == connections_.end()) return send_or_queue_release(id, 0, now);
+  connection->second.in_flight.erase(id);
+  std::unordered_set<std::uint64_t>& abandoned = connection->second.abandoned;
+  if (abandoned.size() >= kMaxAbandoned) abandoned.clear();
+  abandoned.insert(id);
+  send_or_queue_release(id, on, now);
 }
 
-void CoreConnections::end(std::uint64_t id, Outcome outcome, double) {
-  const auto found = out_.find(id);
-  if (found == out_.end()) return;
-  const Attempt who = found->second.who;
-  out_.erase(found);
-  ports_.core_ended(who, outcome, Cause::kNone, 0, {});
+void CoreConnections::end_attempt(std::uint64_t id, Outcome outcome, double) {
+  const auto found = in_flight_.find(id);
+  if (found == in_flight_.end()) return;
+  const AttemptId attempt = found->second.attempt;
+  in_flight_.erase(found);
+  delegate_.core_attempt_ended(attempt, outcome, Cause::kNone, 0, {});
 }
 
-bool CoreConnections::wanted() const {
-  if (address_lost_) return false;
+bool CoreConnections::needs_connections() const {
+  if (address_reassigned_) return false;
   return state_ == ServerEntry::State::kReady || !idle();
 }
 
-void CoreConnections::keep_up(double now) {
-  const std::size_t want = state_ == ServerEntry::State::kReady ? std::min(kKept, settings_.most) : 1;
-  if (!wanted() || in_use() >= want || now < retry_at_) return;
-  while (in_use() < want) open_connection(now);
-  retry_gap_ = retry_gap_ == 0 ? kRetryFirst : std::min(2 * retry_gap_, kRetryLongest);
-  // Not in step with all the other proxies that lost theirs at the same time.
-  constexpr double kLeast = 0.5;  // share of the gap
-  retry_at_ = now + retry_gap_ * std::uniform_real_distribution<>(kLeast, 1.0)(random_);
+void CoreConnections::maintain_connections(double now) {
+  const std::size_t target =
+      state_ == ServerEntry::State::kReady ? std::min(kMinConnections, settings_.max_connections) : 1;
+  if (!needs_connections() || active_connections() >= target || now < retry_at_) return;
+  while (active_connections() < target) open_connection(now);
+  retry_delay_ = retry_delay_ == 0 ? kInitialRetryDelay : std::min(2 * retry_delay_, kMaxRetryDelay);
+  // Jitter, so that proxies that lost their connections at the same time don't reconnect together.
+  constexpr double kMinShare = 0.5;  // share of the delay
+  retry_at_ = now + retry_delay_ * std::uniform_real_distribution<>(kMinShare, 1.0)(random_);
 }
 
 void CoreConnections::set_state(ServerEntry::State state, double now) {
   state_ = state;
   if (state != ServerEntry::State::kReady) {
-    // A set-up that waits for its connection must not go out once the connection stands (rule three).
-    std::vector<std::uint64_t> waiting;
+    // A set-up that is queued for a connection must not be sent once the connection is up: a draining server
+    // gets nothing new (rule three).
+    std::vector<std::uint64_t> queued;
     for (auto& [id, connection] : connections_) {
-      waiting.insert(waiting.end(), connection.waiting.begin(), connection.waiting.end());
-      connection.waiting.clear();
+      queued.insert(queued.end(), connection.queued.begin(), connection.queued.end());
+      connection.queued.clear();
     }
-    for (const std::uint64_t id : waiting) end(id, Outcome::kNotSent, now);
+    for (const std::uint64_t id : queued) end_attempt(id, Outcome::kNotSent, now);
     if (state == ServerEntry::State::kGone && idle()) {
       while (!connections_.empty()) {
         const ConnectionId id = connections_.begin()->first;
         connections_.erase(connections_.begin());
-        ports_.core_connection(server_, id, ConnectionChange::kServerLeft);
-        ports_.close_core(id);
+        delegate_.core_connection_changed(server_, id, ConnectionChange::kServerLeft);
+        delegate_.close_core(id);
       }
     }
   }
-  keep_up(now);
+  maintain_connections(now);
 }
 
-void CoreConnections::moved_away(double now) {
-  address_lost_ = true;
-  if (any_up() == 0) dead("its address is another's", now);
+void CoreConnections::address_reassigned(double now) {
+  address_reassigned_ = true;
+  if (any_usable() == 0) declare_gone("its address belongs to another server", now);
 }
 
-void CoreConnections::note_serves(double now) {
-  serves_ = now;
+void CoreConnections::note_serving(double now) {
+  last_serving_at_ = now;
   refused_ = false;
 }
 
-// While it may be gone with calls that stand there, a new connection is begun now and then: it tells. After a
-// cut it is needed though the old ones speak again: ends that the cut swallowed are repeated on a new one
-// only.
-double CoreConnections::probe_at() const {
-  if (idle() || address_lost_) return kNever;
+// While the server holds calls and may be gone, a new connection is opened from time to time to find out.
+// After a network partition a new connection is needed although the old ones carry lines again: the server
+// repeats ends that were lost in the partition on a new connection only.
+double CoreConnections::next_probe_at() const {
+  if (idle() || address_reassigned_) return kNever;
   if (refused_) return retry_at_;
-  if (!repeats_.doubted() || standing_.empty()) return std::max(heard_ + kQuiet, retry_at_);
+  if (!missed_ends_.needs_new_connection() || established_.empty())
+    return std::max(last_activity_ + kQuietTimeout, retry_at_);
   double due = retry_at_;
   for (const auto& [id, connection] : connections_) {
-    if (repeats_.may_settle(id)) due = std::max(due, settles_by(connection));
+    if (missed_ends_.can_confirm(id)) due = std::max(due, confirmation_deadline(connection));
   }
   return due;
 }
 
-// Until then it may come up, or its first line come.
-double CoreConnections::settles_by(const Connection& connection) const {
-  return connection.up ? connection.up_since + kGone : connection.since + settings_.connect_s;
+// The time until which the connection may still come up or deliver its first line.
+double CoreConnections::confirmation_deadline(const Connection& connection) const {
+  return connection.up ? connection.up_since + kGoneTimeout
+                       : connection.started_at + settings_.connect_timeout_s;
 }
 
-// One that the list or its address has given up, with calls that stand: it cannot be called any more, and
-// silence is all that tells of its end.
-double CoreConnections::silence_ends_at() const {
-  const bool left = address_lost_ || state_ == ServerEntry::State::kGone;
-  return left && !standing_.empty() ? spoke_ + kGone : kNever;
+// A server that left the list or lost its address can't be probed by a new connection. While it holds
+// established calls, silence is the only sign that it is gone.
+double CoreConnections::silence_deadline() const {
+  const bool left = address_reassigned_ || state_ == ServerEntry::State::kGone;
+  return left && !established_.empty() ? last_line_at_ + kGoneTimeout : kNever;
 }
 
-void CoreConnections::up(ConnectionId which, double now) {
+void CoreConnections::connected(ConnectionId which, double now) {
   const auto found = connections_.find(which);
   if (found == connections_.end()) return;
-  ports_.core_connection(server_, which, ConnectionChange::kUp);
+  delegate_.core_connection_changed(server_, which, ConnectionChange::kEstablished);
   Connection& connection = found->second;
   connection.up = true;
   connection.up_since = now;
-  heard_ = now;
-  note_serves(now);
-  silent_since_ = -1;
-  retry_gap_ = 0;
-  // Before anything new goes out: a call may be set up here again under its own id.
-  for (const Owed& each : std::exchange(owed_, {})) send_release(each.id, which, now);
-  for (const std::uint64_t id : std::exchange(connection.waiting, {})) {
-    const auto out = out_.find(id);
-    if (out == out_.end()) continue;
-    connection.open.insert(id);
-    out->second.written = true;
-    ports_.send_to_core(which, out->second.line);
-    out->second.line.clear();
-  }
-}
-
-void CoreConnections::down(ConnectionId which, ConnectionLoss loss, double now) {
+  last_activity_ = now;
+  note_serving(now);
+  unreachable_since_ = -1;
+  retry_delay_ = 0;
+  // Pending releases go before queued set-ups: a call may be set up again at this server under the same id.
+  for (const PendingRelease& each : std::exchange(pending_releases_, {})) send_release(each.id, which, now);
+  for (const std::uint64_t id : std::exchange(connection.queued, {})) {
+    const auto entry = in_flight_.find(id);
+    if (entry == in_flight_.end()) continue;
+    connection.in_flight.insert(id);
+    entry->second.written = true;
+    delegate_.send_to_core(which, entry->second.message);
+    entry->second.message.clear();
+  }
+}
+
+void CoreConnections::disconnected(ConnectionId which, ConnectionLoss loss, double now) {
   const auto found = connections_.find(which);
   if (found == connections_.end()) return;
   const bool refused = loss == ConnectionLoss::kRefused;
-  (refused ? counts_.refused : counts_.lost) += 1;
-  ports_.core_connection(server_, which, refused ? ConnectionChange::kRefused : ConnectionChange::kLost);
-  drop(which, loss, now);
+  (refused ? counters_.refused : counters_.lost) += 1;
+  delegate_.core_connection_changed(server_, which,
+                                    refused ? ConnectionChange::kRefused : ConnectionChange::kLost);
+  remove_connection(which, loss, now);
 }
 
-void CoreConnections::drop(ConnectionId which, ConnectionLoss loss, double now) {
+void CoreConnections::remove_connection(ConnectionId which, ConnectionLoss loss, double now) {
   const bool refused = loss == ConnectionLoss::kRefused;
   const auto found = connections_.find(which);
-  const Connection gone = std::move(found->second);
+  const Connection lost = std::move(found->second);
   connections_.erase(found);
-  for (const std::uint64_t id : gone.open) {
-    const auto out = out_.find(id);
-    if (out != out_.end()) note_unsettled(out->second.who, id, now);
-  }
-  // Of a retired one the server had heard, and has said its last on it.
-  if (!gone.retired || loss == ConnectionLoss::kUnreadable) repeats_.doubt();
-  // Nobody takes connections there, and none is open: what stood was cut with the process. While one is open
-  // it may be a draining server that finishes its calls, unless it has been quiet for too long.
-  const bool quiet = any_up() == 0 || now >= serves_ + kGone;
+  for (const std::uint64_t id : lost.in_flight) {
+    const auto entry = in_flight_.find(id);
+    if (entry != in_flight_.end()) add_unconfirmed(entry->second.attempt, id, now);
+  }
+  // A retired connection loses no end: the server saw the half-close and wrote all it had before it closed.
+  if (!lost.retired || loss == ConnectionLoss::kUnreadable) missed_ends_.suspect_loss();
+  // If the address refuses connections and none is open, the process is gone and its established calls were
+  // cut. While one is open, it may be a draining server that finishes its calls, unless it has shown for too
+  // long no sign of serving.
+  const bool not_serving = any_usable() == 0 || now >= last_serving_at_ + kGoneTimeout;
   refused_ = refused_ || refused;
-  // Connections that are taken and ended without a word: something answers for a process that is not there.
-  const bool wordless = gone.up && !gone.spoke && any_up() == 0 && now >= spoke_ + kGone;
-  const bool process_gone = (refused && quiet) || wordless || (address_lost_ && any_up() == 0);
+  // Connections are accepted and closed without a single line: something else accepts them in place of a
+  // process that is gone.
+  const bool closed_silently =
+      lost.up && !lost.line_received && any_usable() == 0 && now >= last_line_at_ + kGoneTimeout;
+  const bool process_gone =
+      (refused && not_serving) || closed_silently || (address_reassigned_ && any_usable() == 0);
   if (process_gone) {
-    dead(refused    ? "refused"
-         : wordless ? "ends connections without a word"
-                    : "its address is another's",
-         now);
-  } else if (refused && now >= heard_ + kQuiet) {
-    give_up_attempts(now);
-  }
-  for (const Released& each : gone.released) {
-    if (process_gone || each.at + kReleaseInDoubt <= now) continue;
-    // A later attempt of the call is out here, or has made it stand: that is not to be released.
-    if (out_.count(each.id) != 0 || standing_.count(each.id) != 0) continue;
-    release(each.id, 0, now);
-  }
-  for (const std::uint64_t id : gone.open) {
-    // It may stand there, unheard: whoever may hold it is told to let go.
-    if (!process_gone) release(id, 0, now);
-    end(id, Outcome::kReset, now);
-  }
-  // Written to nobody: they never ran.
-  for (const std::uint64_t id : gone.waiting) end(id, Outcome::kConnectFailed, now);
-  keep_up(now);
-}
-
-void CoreConnections::give_up_attempts(double now) {
+    declare_gone(refused           ? "refused"
+                 : closed_silently ? "closes connections without sending a line"
+                                   : "its address belongs to another server",
+                 now);
+  } else if (refused && now >= last_activity_ + kQuietTimeout) {
+    abandon_attempts(now);
+  }
+  for (const SentRelease& each : lost.sent_releases) {
+    if (process_gone || each.at + kReleaseUnconfirmed <= now) continue;
+    // A later attempt of the call is in flight at this server, or has established it: it must not be
+    // released.
+    if (in_flight_.count(each.id) != 0 || established_.count(each.id) != 0) continue;
+    send_or_queue_release(each.id, 0, now);
+  }
+  for (const std::uint64_t id : lost.in_flight) {
+    // The call may be established there although its answer was lost: it is released.
+    if (!process_gone) send_or_queue_release(id, 0, now);
+    end_attempt(id, Outcome::kReset, now);
+  }
+  // Queued set-ups were never written, so they never ran.
+  for (const std::uint64_t id : lost.queued) end_attempt(id, Outcome::kConnectFailed, now);
+  maintain_connections(now);
+}
+
+void CoreConnections::abandon_attempts(double now) {
   std::vector<std::uint64_t> written;
-  for (const auto& [id, out] : out_) {
-    if (out.written && connections_.count(out.on) != 0) written.push_back(id);
+  for (const auto& [id, entry] : in_flight_) {
+    if (entry.written && connections_.count(entry.on) != 0) written.push_back(id);
   }
   for (const std::uint64_t id : written) {
-    const auto found = out_.find(id);
-    if (found == out_.end()) continue;  // the end of another one made the desk give it up
-    const Attempt who = found->second.who;
-    give_up(id, now);
-    ports_.core_ended(who, Outcome::kReset, Cause::kNone, 0, {});
+    const auto found = in_flight_.find(id);
+    if (found == in_flight_.end()) continue;  // the end of another attempt made the call manager release it
+    const AttemptId attempt = found->second.attempt;
+    release_call(id, now);
+    delegate_.core_attempt_ended(attempt, Outcome::kReset, Cause::kNone, 0, {});
   }
 }
 
-// The process is gone: its calls are cut, nothing there can be released any more, and what is still open
-// leads nowhere.
-void CoreConnections::dead(const char* why, double now) {
-  if (!idle()) ports_.core_gone(server_, why, standing_.size());
-  // Should it be there after all, it must not hold what is told over here.
-  const ConnectionId last_word = any_up();
-  for (const std::uint64_t id : standing_) {
-    if (last_word != 0) ports_.send_to_core(last_word, write_core_release(id, kCauseNormal));
+// The process is gone: its calls are cut, releases are pointless, and the remaining connections are closed.
+void CoreConnections::declare_gone(const char* reason, double now) {
+  if (!idle()) delegate_.core_gone(server_, reason, established_.size());
+  // In case the process is alive after all, it must not keep calls that are reported as ended.
+  const ConnectionId usable = any_usable();
+  for (const std::uint64_t id : established_) {
+    if (usable != 0) delegate_.send_to_core(usable, write_core_release(id, kCauseNormal));
   }
   const auto closed = std::exchange(connections_, {});
   for (const auto& [id, connection] : closed) {
-    ports_.core_connection(server_, id, ConnectionChange::kServerGone);
-    ports_.close_core(id);
-    for (const std::uint64_t setup : connection.open) {
-      const auto out = out_.find(setup);
-      if (out != out_.end()) note_unsettled(out->second.who, setup, now);
-      end(setup, Outcome::kReset, now);
+    delegate_.core_connection_changed(server_, id, ConnectionChange::kServerGone);
+    delegate_.close_core(id);
+    for (const std::uint64_t setup : connection.in_flight) {
+      const auto entry = in_flight_.find(setup);
+      if (entry != in_flight_.end()) add_unconfirmed(entry->second.attempt, setup, now);
+      end_attempt(setup, Outcome::kReset, now);
     }
   }
-  owed_.clear();
-  silent_since_ = -1;
-  for (const std::uint64_t id : std::exchange(standing_, {})) ports_.core_over(server_, id, true, {});
-  tell_runs_over();
-  // Last: of those that are over now, a next attempt that waits here must not make a refusal.
+  pending_releases_.clear();
+  unreachable_since_ = -1;
+  for (const std::uint64_t id : std::exchange(established_, {}))
+    delegate_.core_call_ended(server_, id, true, {});
+  report_unconfirmed_ended();
+  // Queued set-ups go last. One can be the next attempt of a call that has just been reported as ended;
+  // failed before that report, it would make the call look refused.
   for (const auto& [id, connection] : closed) {
-    for (const std::uint64_t setup : connection.waiting) end(setup, Outcome::kConnectFailed, now);
+    for (const std::uint64_t setup : connection.queued) end_attempt(setup, Outcome::kConnectFailed, now);
   }
 }
 
-// A call that stood there unseen has ended with the process: it is not to be set up again. Where the server
-// has spoken since its release, it had that.
-void CoreConnections::tell_runs_over() {
-  for (const Unsettled& each : std::exchange(unsettled_, {})) {
-    if (spoke_ < each.since + kReleaseInDoubt) ports_.core_run_over(each.who);
+// A call that was established there without the proxy seeing it has ended with the process and must not be
+// set up again. Attempts are left out if the server sent a line after their release: it had received that.
+void CoreConnections::report_unconfirmed_ended() {
+  for (const UnconfirmedAttempt& each : std::exchange(unconfirmed_attempts_, {})) {
+    if (last_line_at_ < each.since + kReleaseUnconfirmed)
+      delegate_.core_unconfirmed_attempt_ended(each.attempt);
   }
 }
 
-void CoreConnections::note_unsettled(const Attempt& who, std::uint64_t id, double now) {
-  if (unsettled_.size() >= kMostUnsettled) unsettled_.pop_front();
-  unsettled_.push_back({who, id, now});
+void CoreConnections::add_unconfirmed(const AttemptId& attempt, std::uint64_t id, double now) {
+  if (unconfirmed_attempts_.size() >= kMaxUnconfirmedAttempts) unconfirmed_attempts_.pop_front();
+  unconfirmed_attempts_.push_back({attempt, id, now});
 }
 
-// The server has said that it holds nothing of the call's earlier attempts.
-void CoreConnections::settle_attempts(std::uint64_t id) {
-  unsettled_.erase(std::remove_if(unsettled_.begin(), unsettled_.end(),
-                                  [id](const Unsettled& each) { return each.id == id; }),
-                   unsettled_.end());
+// The server has confirmed that it holds no earlier attempt of the call.
+void CoreConnections::confirm_attempts_ended(std::uint64_t id) {
+  unconfirmed_attempts_.erase(std::remove_if(unconfirmed_attempts_.begin(), unconfirmed_attempts_.end(),
+                                             [id](const UnconfirmedAttempt& each) { return each.id == id; }),
+                              unconfirmed_attempts_.end());
 }
 
-void CoreConnections::spoilt(ConnectionId which, const char* what, double now) {
-  counts_.spoilt += 1;
-  ports_.core_fault(server_, what);
-  ports_.core_connection(server_, which, ConnectionChange::kUnreadable);
-  ports_.close_core(which);
-  drop(which, ConnectionLoss::kUnreadable, now);
+void CoreConnections::close_unreadable(ConnectionId which, const char* error, double now) {
+  counters_.unreadable += 1;
+  delegate_.core_fault(server_, error);
+  delegate_.core_connection_changed(server_, which, ConnectionChange::kUnreadable);
+  delegate_.close_core(which);
+  remove_connection(which, ConnectionLoss::kUnreadable, now);
 }
 
 void CoreConnections::received(ConnectionId from, std::string_view bytes, double now) {
   auto found = connections_.find(from);
   if (found == connections_.end()) return;
-  heard_ = now;
-  found->second.cutter.feed(bytes);
+  last_activity_ = now;
+  found->second.splitter.feed(bytes);
   while (found != connections_.end()) {
-    const auto line = found->second.cutter.next();
+    const auto line = found->second.splitter.next();
     if (!line) {
-      if (found->second.cutter.too_long()) spoilt(from, "a line without end", now);
+      if (found->second.splitter.too_long()) close_unreadable(from, "line too long", now);
       return;
     }
-    spoke_ = now;
-    repeats_.heard();
-    if (!std::exchange(found->second.spoke, true)) {
-      repeats_.first_line(from, found->second.up_since, now);
+    last_line_at_ = now;
+    missed_ends_.line_received();
+    if (!std::exchange(found->second.line_received, true)) {
+      missed_ends_.first_line_received(from, found->second.up_since, now);
     }
-    const char* why = nullptr;
-    const auto message = read_core_message(*line, why);
-    if (!message) return spoilt(from, why, now);
-    take(from, *message, now);
+    const char* error = nullptr;
+    const auto message = read_core_message(*line, error);
+    if (!message) return close_unreadable(from, error, now);
+    handle_message(from, *message, now);
     found = connections_.find(from);
   }
 }
 
-MessageOwner CoreConnections::owner(ConnectionId from, std::uint64_t id) const {
-  const auto out = out_.find(id);
-  // What comes on another connection than the attempt's own belongs to an earlier attempt.
-  if (out != out_.end() && out->second.on == from && out->second.written) return MessageOwner::kAttempt;
-  if (standing_.count(id) != 0) return MessageOwner::kStanding;
-  if (connections_.at(from).given_up.count(id) != 0) return MessageOwner::kGivenUp;
+MessageOwner CoreConnections::find_owner(ConnectionId from, std::uint64_t id) const {
+  const auto entry = in_flight_.find(id);
+  // A message on another connection than the attempt's own belongs to an earlier attempt.
+  if (entry != in_flight_.end() && entry->second.on == from && entry->second.written)
+    return MessageOwner::kAttempt;
+  if (established_.count(id) != 0) return MessageOwner::kEstablishedCall;
+  if (connections_.at(from).abandoned.count(id) != 0) return MessageOwner::kAbandoned;
   return MessageOwner::kUnknown;
 }
 
-void CoreConnections::take(ConnectionId from, const CoreMessage& message, double now) {
+void CoreConnections::handle_message(ConnectionId from, const CoreMessage& message, double now) {
   using Type = CoreMessage::Type;
   switch (message.type) {
     case Type::kProgress:
     case Type::kTestResult:
       return;
     case Type::kReleased: {
-      settle_attempts(message.id);
-      std::deque<Released>& released = connections_.at(from).released;
-      const auto heard = std::find_if(released.begin(), released.end(),
-                                      [&](const Released& each) { return each.id == message.id; });
-      if (heard != released.end()) released.erase(heard);
+      confirm_attempts_ended(message.id);
+      std::deque<SentRelease>& sent_releases = connections_.at(from).sent_releases;
+      const auto acknowledged = std::find_if(sent_releases.begin(), sent_releases.end(),
+                                             [&](const SentRelease& each) { return each.id == message.id; });
+      if (acknowledged != sent_releases.end()) sent_releases.erase(acknowledged);
       return;
     }
     case Type::kState:
-      note_serves(now);
-      return ports_.core_load(server_, message.report);
+      note_serving(now);
+      return delegate_.core_load_reported(server_, message.report);
     case Type::kAnswer:
-      return take_answer(from, message);
+      return handle_answer(from, message);
     case Type::kRelease:
-      return take_release(from, message, now);
+      return handle_release(from, message, now);
   }
 }
 
-void CoreConnections::take_answer(ConnectionId from, const CoreMessage& message) {
-  const MessageOwner whose = owner(from, message.id);
-  ports_.core_message(server_, from, message, whose);
-  switch (whose) {
-    case MessageOwner::kStanding:
-      counts_.doubled += 1;
+void CoreConnections::handle_answer(ConnectionId from, const CoreMessage& message) {
+  const MessageOwner owner = find_owner(from, message.id);
+  delegate_.core_message_received(server_, from, message, owner);
+  switch (owner) {
+    case MessageOwner::kEstablishedCall:
+      counters_.duplicate_answers += 1;
       return;
-    case MessageOwner::kGivenUp:
-      counts_.late += 1;
+    case MessageOwner::kAbandoned:
+      counters_.late_answers += 1;
       return;
     case MessageOwner::kUnknown:
-      counts_.stranger += 1;
+      counters_.unsolicited_answers += 1;
       return;
     case MessageOwner::kAttempt:
       break;
   }
-  const Attempt who = out_.at(message.id).who;
-  connections_.at(from).open.erase(message.id);
-  out_.erase(message.id);
-  standing_.insert(message.id);
-  ports_.core_stood(who, message.description, message.report);
+  const AttemptId attempt = in_flight_.at(message.id).attempt;
+  connections_.at(from).in_flight.erase(message.id);
+  in_flight_.erase(message.id);
+  established_.insert(message.id);
+  delegate_.core_call_established(attempt, message.description, message.report);
 }
 
-void CoreConnections::take_release(ConnectionId from, const CoreMessage& message, double now) {
-  const MessageOwner whose = owner(from, message.id);
-  ports_.core_message(server_, from, message, whose);
+void CoreConnections::handle_release(ConnectionId from, const CoreMessage& message, double now) {
+  const MessageOwner owner = find_owner(from, message.id);
+  delegate_.core_message_received(server_, from, message, owner);
   Connection& connection = connections_.at(from);
-  if (whose == MessageOwner::kAttempt) {
-    const Attempt who = out_.at(message.id).who;
-    connection.open.erase(message.id);
-    out_.erase(message.id);
-    const Ending ending = ending_before_answer(message.cause, message.note);
-    if (ending.outcome == Outcome::kReset) release(message.id, from, now);
-    return ports_.core_ended(who, ending.outcome, ending.cause, message.waited_s, message.report);
-  }
-  settle_attempts(message.id);
-  connection.given_up.erase(message.id);
+  if (owner == MessageOwner::kAttempt) {
+    const AttemptId attempt = in_flight_.at(message.id).attempt;
+    connection.in_flight.erase(message.id);
+    in_flight_.erase(message.id);
+    const AttemptResult result = result_before_answer(message.cause, message.note);
+    if (result.outcome == Outcome::kReset) send_or_queue_release(message.id, from, now);
+    return delegate_.core_attempt_ended(attempt, result.outcome, result.cause, message.waited_s,
+                                        message.report);
+  }
+  confirm_attempts_ended(message.id);
+  connection.abandoned.erase(message.id);
   const bool ended = message.cause == kCauseNormal;
-  // Of an earlier attempt of a call that is out here again: only its end is news.
-  if (whose == MessageOwner::kGivenUp || (out_.count(message.id) != 0 && !ended)) {
-    return ports_.core_load(server_, message.report);
+  // The release refers to an earlier attempt of a call that is in flight at this server again: only its
+  // normal end is reported.
+  if (owner == MessageOwner::kAbandoned || (in_flight_.count(message.id) != 0 && !ended)) {
+    return delegate_.core_load_reported(server_, message.report);
   }
-  note_serves(now);
-  standing_.erase(message.id);
-  ports_.core_over(server_, message.id, !ended, message.report);
+  note_serving(now);
+  established_.erase(message.id);
+  delegate_.core_call_ended(server_, message.id, !ended, message.report);
 }
 
 double CoreConnections::deadline() const {
   double due = kNever;
   for (const auto& [id, connection] : connections_) {
-    if (!connection.up) due = std::min(due, connection.since + settings_.connect_s);
-    if (connection.retired) due = std::min(due, connection.retired_at + kGone);
+    if (!connection.up) due = std::min(due, connection.started_at + settings_.connect_timeout_s);
+    if (connection.retired) due = std::min(due, connection.retired_at + kGoneTimeout);
   }
-  if (wanted()) {
-    const std::size_t want = state_ == ServerEntry::State::kReady ? std::min(kKept, settings_.most) : 1;
-    if (in_use() < want) due = std::min(due, retry_at_);
+  if (needs_connections()) {
+    const std::size_t target =
+        state_ == ServerEntry::State::kReady ? std::min(kMinConnections, settings_.max_connections) : 1;
+    if (active_connections() < target) due = std::min(due, retry_at_);
   }
-  if (silent_since_ >= 0) due = std::min(due, heard_ + kGone);
-  return std::min({due, probe_at(), silence_ends_at()});
+  if (unreachable_since_ >= 0) due = std::min(due, last_activity_ + kGoneTimeout);
+  return std::min({due, next_probe_at(), silence_deadline()});
 }
 
 void CoreConnections::tick(double now) {
-  std::vector<ConnectionId> not_up;
+  std::vector<ConnectionId> timed_out;
   for (const auto& [id, connection] : connections_) {
-    if (!connection.up && now >= connection.since + settings_.connect_s) not_up.push_back(id);
-  }
-  for (const ConnectionId id : not_up) {
-    counts_.not_up += 1;
-    if (silent_since_ < 0) silent_since_ = now;
-    ports_.core_connection(server_, id, ConnectionChange::kNotUp);
-    ports_.close_core(id);
-    drop(id, ConnectionLoss::kNotUp, now);
-  }
-  if (silent_since_ >= 0 && now >= heard_ + kGone) dead("no connection comes up", now);
-  if (now >= silence_ends_at()) dead("silent since it left the list or its address", now);
-  while (!owed_.empty() && owed_.front().until <= now) owed_.pop_front();
-  close_retired(now);
-  keep_up(now);
-  if (now < probe_at()) return;
-  // Is it there at all? A new connection tells, and brings the group's state and lost ends.
-  if (now >= heard_ + kQuiet) repeats_.doubt();
-  if (in_use() >= std::min(kKept, settings_.most)) retire_one(now);
-  if (in_use() < settings_.most) open_connection(now);
-  retry_at_ = now + kRetryLongest;
-}
-
-// One without set-ups that has been spoken on: what the server says on it meanwhile is still read.
-void CoreConnections::retire_one(double now) {
+    if (!connection.up && now >= connection.started_at + settings_.connect_timeout_s) timed_out.push_back(id);
+  }
+  for (const ConnectionId id : timed_out) {
+    counters_.connect_timeouts += 1;
+    if (unreachable_since_ < 0) unreachable_since_ = now;
+    delegate_.core_connection_changed(server_, id, ConnectionChange::kConnectTimeout);
+    delegate_.close_core(id);
+    remove_connection(id, ConnectionLoss::kNotEstablished, now);
+  }
+  if (unreachable_since_ >= 0 && now >= last_activity_ + kGoneTimeout)
+    declare_gone("no connection is established", now);
+  if (now >= silence_deadline()) declare_gone("silent since it left the list or lost its address", now);
+  while (!pending_releases_.empty() && pending_releases_.front().until <= now) pending_releases_.pop_front();
+  close_retired_connections(now);
+  maintain_connections(now);
+  if (now < next_probe_at()) return;
+  // A new connection shows whether the server is alive, and makes it send its group's state and lost ends.
+  if (now >= last_activity_ + kQuietTimeout) missed_ends_.suspect_loss();
+  if (active_connections() >= std::min(kMinConnections, settings_.max_connections))
+    retire_idle_connection(now);
+  if (active_connections() < settings_.max_connections) open_connection(now);
+  retry_at_ = now + kMaxRetryDelay;
+}
+
+// Half-closes one connection that has no set-ups and has carried a line; what the server still sends on it is
+// read.
+void CoreConnections::retire_idle_connection(double now) {
   for (auto& [id, connection] : connections_) {
-    const bool unused = connection.open.empty() && connection.waiting.empty();
-    if (!unused || !connection.up || !connection.spoke || connection.retired) continue;
+    const bool unused = connection.in_flight.empty() && connection.queued.empty();
+    if (!unused || !connection.up || !connection.line_received || connection.retired) continue;
     connection.retired = true;
     connection.retired_at = now;
-    ports_.core_connection(server_, id, ConnectionChange::kRetired);
-    return ports_.retire_core(id);
+    delegate_.core_connection_changed(server_, id, ConnectionChange::kRetired);
+    return delegate_.retire_core(id);
   }
 }
 
-// A server that does not close what is retired can't be heard, or does not care: few are kept for it.
-void CoreConnections::close_retired(double now) {
-  std::vector<ConnectionId> over;
+// A server that does not close its retired connections is unreachable or ignores the half-close: only a few
+// of them are kept, for a limited time.
+void CoreConnections::close_retired_connections(double now) {
+  std::vector<ConnectionId> expired;
   std::size_t kept = 0;
   for (auto it = connections_.rbegin(); it != connections_.rend(); ++it) {
     if (!it->second.retired) continue;
     kept += 1;
-    if (kept > kKept || now >= it->second.retired_at + kGone) over.push_back(it->first);
+    if (kept > kMinConnections || now >= it->second.retired_at + kGoneTimeout) expired.push_back(it->first);
   }
-  for (const ConnectionId which : over) {
-    ports_.core_connection(server_, which, ConnectionChange::kRetiredClosed);
-    ports_.close_core(which);
+  for (const ConnectionId which : expired) {
+    delegate_.core_connection_changed(server_, which, ConnectionChange::kRetiredClosed);
+    delegate_.close_core(which);
     connections_.erase(which);
-    repeats_.doubt_until_heard();
+    missed_ends_.suspect_loss_until_line_received();
   }
 }
 
--- a/src/platform/core_connections.hpp
+++ b/src/platform/core_connections.hpp
@@ -1,10 +1,10 @@
-// The connections to one core server, and what it holds of this proxy's calls: set-ups that wait for a
-// connection, set-ups out and on which connection, calls that stand, releases that it is owed.
+// The connections to one core server and the state of the calls placed there: set-ups that wait for a
+// connection, set-ups in flight and on which connection, established calls, and pending releases.
 //
-// Pure: bytes and times in, calls of CoreConnectionsDelegate out; no sockets, no clock. Closing a connection
-// gives up every set-up on it, so each gets one of its own while there is room, and a spoilt answer takes few
-// with it. Calls that stand belong to no connection: they end by what the server says on any, or when it is
-// known to be gone.
+// Pure: does no I/O and reads no clock; it takes bytes and times, and calls CoreConnectionsDelegate. Closing
+// a connection fails every set-up on it, so each set-up gets a connection of its own while the limit allows
+// it, and a corrupt answer fails few others. Established calls belong to no connection: they end when the
+// server says so on any connection, or when the server is known to be gone.
 #ifndef MINTROCK_SRC_PLATFORM_CORE_CONNECTIONS_HPP_
 #define MINTROCK_SRC_PLATFORM_CORE_CONNECTIONS_HPP_
 
@@ -25,211 +25,221 @@
 
 namespace mintrock::platform {
 
-struct Attempt {
+struct AttemptId {
   CallId call = 0;
-  std::uint32_t attempt = 0;
+  std::uint32_t number = 0;
 };
 
 // How a connection to a core server ended.
 enum class ConnectionLoss {
-  kEnded,       // closed or reset by the other side; some servers answer an end of writing with a reset
-  kRefused,     // nobody listens there
-  kNotUp,       // it could not be made
-  kUnreadable,  // closed here over what came on it, unread bytes behind it
+  kClosedByServer,  // closed or reset by the server; some servers answer a half-close with a reset
+  kRefused,         // nothing listens at the address
+  kNotEstablished,  // it could not be opened
+  kUnreadable,      // closed by this proxy after a malformed message; bytes behind it stay unread
 };
 
-// What becomes of one connection to a core server.
+// State changes of one connection to a core server.
 enum class ConnectionChange {
-  kBegun,
-  kUp,
-  kLost,           // closed or reset by the other side
-  kRefused,        // nobody listens there
-  kNotUp,          // given up: it did not come up in time
-  kUnreadable,     // closed here over what came on it
-  kRetired,        // no more used, for a new one that shows whether the server lives
-  kRetiredClosed,  // closed here: the server did not close it though it was retired
-  kServerGone,     // closed here, since its server is taken for gone
-  kServerLeft,     // closed here, since its server left the list and holds nothing
+  kStarted,
+  kEstablished,
+  kLost,            // closed or reset by the server
+  kRefused,         // nothing listens at the address
+  kConnectTimeout,  // closed by this proxy: not established in time
+  kUnreadable,      // closed by this proxy after a malformed message
+  kRetired,         // half-closed in favour of a new connection that probes the server
+  kRetiredClosed,   // closed by this proxy: the server did not close a retired connection
+  kServerGone,      // closed by this proxy: its server is taken for gone
+  kServerLeft,      // closed by this proxy: its server left the list and holds no call
 };
 
-// What an answer or a release of a core server belongs to.
+// What an answer or a release from a core server refers to.
 enum class MessageOwner {
-  kAttempt,   // the attempt that is out on this connection
-  kGivenUp,   // an attempt that was given up on this connection
-  kStanding,  // a call that stands there
+  kAttempt,          // the attempt in flight on this connection
+  kAbandoned,        // an attempt that was abandoned on this connection
+  kEstablishedCall,  // a call established at the server
   kUnknown,
 };
 
 class CoreConnectionsDelegate {
  public:
   virtual ~CoreConnectionsDelegate() = default;
-  // Begins a connection; what becomes of it is told by up() or down(), never before this returns.
+  // Starts a connection; its result is reported by connected() or disconnected(), never before this returns.
   virtual ConnectionId connect_core(ServerId server) = 0;
   virtual void send_to_core(ConnectionId to, std::string_view bytes) = 0;
-  virtual void close_core(ConnectionId which) = 0;  // the shell tells nothing of it any more
-  // Nothing more is sent on it; what the server still says on it is told until it closes.
+  // Closes a connection; the I/O layer reports no further events of it.
+  virtual void close_core(ConnectionId which) = 0;
+  // Half-closes a connection: nothing more is sent on it, but received bytes are reported until it closes.
   virtual void retire_core(ConnectionId which) = 0;
-  virtual void core_stood(const Attempt& who, std::string description, const Report& report) = 0;
-  virtual void core_ended(const Attempt& who, Outcome outcome, Cause cause, double waited_s,
-                          const Report& report) = 0;
-  // A call that stood, or that this proxy knows nothing of, has ended there, or was cut.
-  virtual void core_over(ServerId server, std::uint64_t id, bool cut, const Report& report) = 0;
-  virtual void core_load(ServerId server, const Report& report) = 0;
-  virtual void core_fault(ServerId server, const char* what) = 0;  // for the log
-  // The server's process is gone; this attempt may have run there unseen, and that run is over now.
-  virtual void core_run_over(const Attempt& who) = 0;
-  // For the log: it is taken for gone, with this many calls that stood.
-  virtual void core_gone(ServerId server, const char* why, std::size_t standing) = 0;
-  // Likewise: the state of one connection has changed.
-  virtual void core_connection(ServerId server, ConnectionId which, ConnectionChange change) = 0;
-  // Likewise: an answer or a release has come; what becomes of it is told apart.
-  virtual void core_message(ServerId server, ConnectionId from, const CoreMessage& message,
-                            MessageOwner owner) = 0;
+  virtual void core_call_established(const AttemptId& attempt, std::string description,
+                                     const Report& report) = 0;
+  virtual void core_attempt_ended(const AttemptId& attempt, Outcome outcome, Cause cause, double waited_s,
+                                  const Report& report) = 0;
+  // A call that was established, or that this process does not know, has ended at the server or was cut.
+  virtual void core_call_ended(ServerId server, std::uint64_t id, bool cut, const Report& report) = 0;
+  virtual void core_load_reported(ServerId server, const Report& report) = 0;
+  virtual void core_fault(ServerId server, const char* error) = 0;  // for the log
+  // The server's process is gone. This in-doubt attempt may have been established there without the proxy
+  // seeing it; if so, that call has ended.
+  virtual void core_unconfirmed_attempt_ended(const AttemptId& attempt) = 0;
+  // For the log: the server is taken for gone, with this many established calls.
+  virtual void core_gone(ServerId server, const char* reason, std::size_t established) = 0;
+  // For the log: the state of one connection has changed.
+  virtual void core_connection_changed(ServerId server, ConnectionId which, ConnectionChange change) = 0;
+  // For the log: an answer or a release was received; its effect is reported by the callbacks above.
+  virtual void core_message_received(ServerId server, ConnectionId from, const CoreMessage& message,
+                                     MessageOwner owner) = 0;
 };
 
 struct CoreCounters {
   std::uint64_t connections = 0;
   std::uint64_t refused = 0;
-  std::uint64_t not_up = 0;    // connections that did not come up in time
-  std::uint64_t lost = 0;      // connections closed or reset by the other side
-  std::uint64_t spoilt = 0;    // connections closed here over what came on them
-  std::uint64_t late = 0;      // answers of attempts that were over
-  std::uint64_t doubled = 0;   // answers of calls that stand
-  std::uint64_t stranger = 0;  // answers under an id that nothing is out for
+  std::uint64_t connect_timeouts = 0;     // connections not established in time
+  std::uint64_t lost = 0;                 // connections closed or reset by the server
+  std::uint64_t unreadable = 0;           // connections closed by this proxy after a malformed message
+  std::uint64_t late_answers = 0;         // answers of attempts that had ended
+  std::uint64_t duplicate_answers = 0;    // answers of calls that were established already
+  std::uint64_t unsolicited_answers = 0;  // answers with an id that no attempt in flight has
 };
 
 class CoreConnections {
  public:
   struct Settings {
-    double connect_s = 0.5;
-    std::size_t most = 8;  // connections
+    double connect_timeout_s = 0.5;
+    std::size_t max_connections = 8;
     std::uint64_t seed = 0;
   };
-  CoreConnections(ServerId server, const Settings& settings, CoreConnectionsDelegate& ports,
-                  CoreCounters& counts)
-      : server_(server), settings_(settings), ports_(ports), counts_(counts), random_(settings.seed) {}
-
-  // ---- From the desk ----
-  void set_up(const Attempt& who, std::uint64_t id, std::string line, double now);
-  // Frees what the server holds of the call: a set-up is given up, a call that stands is cut.
-  void give_up(std::uint64_t id, double now);
-  // It stands there already: known from its caller.
+  CoreConnections(ServerId server, const Settings& settings, CoreConnectionsDelegate& delegate,
+                  CoreCounters& counters)
+      : server_(server),
+        settings_(settings),
+        delegate_(delegate),
+        counters_(counters),
+        random_(settings.seed) {}
+
+  // ---- From the call manager ----
+  void set_up(const AttemptId& attempt, std::uint64_t id, std::string message, double now);
+  // Frees what the server holds of the call: abandons a set-up in flight, or cuts an established call.
+  void release_call(std::uint64_t id, double now);
+  // Adds a call that its caller reports to be established at this server already.
   void take_over(std::uint64_t id) {
-    standing_.insert(id);
-    repeats_.former_life_had_calls();
+    established_.insert(id);
+    missed_ends_.previous_process_had_calls();
   }
 
-  // ---- From the list ----
-  // Ready: connections are kept up. Otherwise nothing that waits may go out any more.
+  // ---- From the server list ----
+  // In the state ready, connections are kept open. In any other state, no queued set-up may be sent.
   void set_state(ServerEntry::State state, double now);
-  // Its address is another server's now: no new connection may be made there.
-  void moved_away(double now);
-  void moved_back() { address_lost_ = false; }
+  // The address now belongs to another server: no new connection may be opened to it.
+  void address_reassigned(double now);
+  void address_restored() { address_reassigned_ = false; }
 
-  // ---- From the shell ----
-  void up(ConnectionId which, double now);
-  void down(ConnectionId which, ConnectionLoss loss, double now);
+  // ---- From the I/O layer ----
+  void connected(ConnectionId which, double now);
+  void disconnected(ConnectionId which, ConnectionLoss loss, double now);
   void received(ConnectionId from, std::string_view bytes, double now);
   void tick(double now);
   double deadline() const;
 
-  bool idle() const { return out_.empty() && standing_.empty() && owed_.empty(); }
+  bool idle() const { return in_flight_.empty() && established_.empty() && pending_releases_.empty(); }
   std::size_t connections() const { return connections_.size(); }
-  std::size_t out() const { return out_.size(); }
-  std::size_t standing() const { return standing_.size(); }
-  std::size_t owed() const { return owed_.size(); }
-  // Releases that were written, but may not have arrived if their connection ended now.
-  std::size_t releases_in_doubt(double now) const;
+  std::size_t in_flight() const { return in_flight_.size(); }
+  std::size_t established() const { return established_.size(); }
+  std::size_t pending_releases() const { return pending_releases_.size(); }
+  // Releases that were written, but may be lost if their connection fails now.
+  std::size_t unconfirmed_releases(double now) const;
 
  private:
-  struct Released {
+  struct SentRelease {
     std::uint64_t id = 0;
     double at = 0;
   };
   struct Connection {
     bool up = false;
-    bool spoke = false;    // a line has come on it
-    bool retired = false;  // nothing more goes out on it; the server's last words are read
+    bool line_received = false;
+    bool retired = false;  // half-closed: nothing more is sent, but received lines are handled
     double retired_at = 0;
-    double since = 0;  // begun
+    double started_at = 0;
     double up_since = 0;
-    LineSplitter cutter;
-    std::set<std::uint64_t> open;       // set-ups written, unanswered
-    std::deque<std::uint64_t> waiting;  // set-ups to be written once it is up
+    LineSplitter splitter;
+    std::set<std::uint64_t> in_flight;  // set-ups written and not yet answered
+    std::deque<std::uint64_t> queued;   // set-ups to be written once the connection is up
     std::unordered_set<std::uint64_t>
-        given_up;                   // answers of these are late; bounded by the connection's life
-    std::deque<Released> released;  // lately, and not heard by the server yet as far as is known
+        abandoned;                          // an answer with such an id is late; bounded by kMaxAbandoned
+    std::deque<SentRelease> sent_releases;  // recent ones that the server has not acknowledged
   };
-  struct Out {
-    Attempt who;
+  struct InFlight {
+    AttemptId attempt;
     ConnectionId on = 0;
     bool written = false;
-    std::string line;
+    std::string message;
   };
-  // An attempt that is over here, though the server may hold what came of it.
-  struct Unsettled {
-    Attempt who;
+  // An attempt that has ended at this proxy, though the server may have established its call.
+  struct UnconfirmedAttempt {
+    AttemptId attempt;
     std::uint64_t id = 0;
     double since = 0;
   };
-  struct Owed {
+  struct PendingRelease {
     std::uint64_t id = 0;
     double until = 0;
   };
 
   Connection& open_connection(double now);
-  ConnectionId pick(double now);
-  ConnectionId any_up() const;
-  void take(ConnectionId from, const CoreMessage& message, double now);
-  void take_answer(ConnectionId from, const CoreMessage& message);
-  void take_release(ConnectionId from, const CoreMessage& message, double now);
-  MessageOwner owner(ConnectionId from, std::uint64_t id) const;
-  void spoilt(ConnectionId which, const char* what, double now);
-  // The connection is gone: what was out on it is a reset each, once; what waited goes elsewhere or never
-  // ran.
-  void drop(ConnectionId which, ConnectionLoss loss, double now);
-  void release(std::uint64_t id, ConnectionId on, double now);
+  ConnectionId select_connection(double now);
+  ConnectionId any_usable() const;
+  void handle_message(ConnectionId from, const CoreMessage& message, double now);
+  void handle_answer(ConnectionId from, const CoreMessage& message);
+  void handle_release(ConnectionId from, const CoreMessage& message, double now);
+  MessageOwner find_owner(ConnectionId from, std::uint64_t id) const;
+  void close_unreadable(ConnectionId which, const char* error, double now);
+  // Removes a lost connection. Each set-up in flight on it ends once, as a reset; a queued one never ran and
+  // fails as not connected.
+  void remove_connection(ConnectionId which, ConnectionLoss loss, double now);
+  // Sends a release on connection `on`, else on any usable one; keeps it as pending if there is none.
+  void send_or_queue_release(std::uint64_t id, ConnectionId on, double now);
   void send_release(std::uint64_t id, ConnectionId on, double now);
-  // Attempts at a server that takes no connections and has gone quiet are resets, before their connections
-  // go.
-  void give_up_attempts(double now);
-  void retire_one(double now);
-  void close_retired(double now);
-  std::size_t in_use() const;  // connections that are not retired
-  double settles_by(const Connection& connection) const;
-  void end(std::uint64_t id, Outcome outcome, double now);
-  void dead(const char* why, double now);
-  void note_unsettled(const Attempt& who, std::uint64_t id, double now);
-  void settle_attempts(std::uint64_t id);
-  void tell_runs_over();
-  void note_serves(double now);
-  double probe_at() const;
-  double silence_ends_at() const;
-  bool wanted() const;
-  void keep_up(double now);
+  // Ends the attempts in flight at a server that is quiet and refuses connections, without waiting for their
+  // connections to close.
+  void abandon_attempts(double now);
+  void retire_idle_connection(double now);
+  void close_retired_connections(double now);
+  std::size_t active_connections() const;  // connections that are not retired
+  double confirmation_deadline(const Connection& connection) const;
+  void end_attempt(std::uint64_t id, Outcome outcome, double now);
+  void declare_gone(const char* reason, double now);
+  void add_unconfirmed(const AttemptId& attempt, std::uint64_t id, double now);
+  void confirm_attempts_ended(std::uint64_t id);
+  void report_unconfirmed_ended();
+  void note_serving(double now);
+  double next_probe_at() const;
+  double silence_deadline() const;
+  bool needs_connections() const;
+  void maintain_connections(double now);
 
   ServerId server_;
   Settings settings_;
-  CoreConnectionsDelegate& ports_;
-  CoreCounters& counts_;
+  CoreConnectionsDelegate& delegate_;
+  CoreCounters& counters_;
   ServerEntry::State state_ = ServerEntry::State::kReady;
-  bool address_lost_ = false;
+  bool address_reassigned_ = false;
   std::map<ConnectionId, Connection> connections_;
-  std::unordered_map<std::uint64_t, Out> out_;
-  std::unordered_set<std::uint64_t> standing_;
-  std::deque<Unsettled> unsettled_;
-  std::deque<Owed> owed_;  // releases that no connection could carry yet
-  double heard_ = 0;       // when anything came from it
-  double spoke_ = 0;       // when a line last came; a connection may come up though nobody serves it
-  // When it last showed that it serves: a connection came up, or it told its state or the end of a call. One
-  // that stops answers what is out, takes no connections, and tells neither.
-  double serves_ = 0;
-  bool refused_ = false;  // a connection was, since then
-  MissedEndTracker repeats_;
-  double retry_at_ = 0;  // no connection is begun by itself before this
-  double retry_gap_ = 0;
+  std::unordered_map<std::uint64_t, InFlight> in_flight_;
+  std::unordered_set<std::uint64_t> established_;
+  std::deque<UnconfirmedAttempt> unconfirmed_attempts_;
+  std::deque<PendingRelease> pending_releases_;  // releases that no connection could carry yet
+  double last_activity_ = 0;                     // when a connection came up or bytes were received
+  // When a line was last received; a connection can come up though no process serves it.
+  double last_line_at_ = 0;
+  // When the server last showed that it serves calls: a connection came up, or it sent its state or the end
+  // of a call. A server that is stopping still answers set-ups in flight, but accepts no connections and
+  // sends neither its state nor ends of calls.
+  double last_serving_at_ = 0;
+  bool refused_ = false;  // a connection was refused after last_serving_at_
+  MissedEndTracker missed_ends_;
+  double retry_at_ = 0;  // no connection is opened in the background before this time
+  double retry_delay_ = 0;
   std::minstd_rand random_;
-  double silent_since_ = -1;  // connections have not come up since then; below 0: they do
+  double unreachable_since_ = -1;  // since when connections time out; below 0: they don't
 };
 
 }  // namespace mintrock::platform
--- a/src/platform/log_names.cpp
+++ b/src/platform/log_names.cpp
@@ -20,15 +20,15 @@
 
 const char* name(ConnectionChange change) {
   switch (change) {
-    case ConnectionChange::kBegun:
+    case ConnectionChange::kStarted:
       return "begun";
-    case ConnectionChange::kUp:
+    case ConnectionChange::kEstablished:
       return "up";
     case ConnectionChange::kLost:
       return "lost";
     case ConnectionChange::kRefused:
       return "refused";
-    case ConnectionChange::kNotUp:
+    case ConnectionChange::kConnectTimeout:
       return "not up in time";
     case ConnectionChange::kUnreadable:
       return "closed: unreadable";
@@ -48,9 +48,9 @@
   switch (owner) {
     case MessageOwner::kAttempt:
       return "attempt";
-    case MessageOwner::kGivenUp:
+    case MessageOwner::kAbandoned:
       return "given up";
-    case MessageOwner::kStanding:
+    case MessageOwner::kEstablishedCall:
       return "standing";
     case MessageOwner::kUnknown:
       return "unknown";
--- a/src/platform/log_names.hpp
+++ b/src/platform/log_names.hpp
@@ -1,4 +1,5 @@
-// The names that the platform route's log gives to reasons, changes and outcomes (docs/platform.md, Log).
+// The names of reasons, connection changes, message owners and outcomes in the platform edge's log
+// (docs/platform.md, Log).
 #ifndef MINTROCK_SRC_PLATFORM_LOG_NAMES_HPP_
 #define MINTROCK_SRC_PLATFORM_LOG_NAMES_HPP_
 
--- a/src/platform/missed_end_tracker.hpp
+++ b/src/platform/missed_end_tracker.hpp
@@ -1,16 +1,17 @@
-// Whether the end of a call may have been lost on its way from one core server.
+// Tracks whether one core server may have sent the end of a call that never arrived.
 //
-// A core server tells the end of a call once, and once more on the next connection that is opened to it. An
-// end that was lost, with a connection or in a cut of the network, is heard again only over a connection that
-// the server sees opened after that end: one that is begun after the loss, and on which the server speaks as
-// soon as it is up. Where it speaks late, the connection was opened while the server could not hear or be
-// heard, and ends may have been sent after it; another one is needed.
+// A core server sends the end of a call once, and repeats it once on the next connection that is opened to
+// it. An end that is lost with a connection or in a network partition arrives only over a connection that the
+// server accepts after sending that end. A connection qualifies if it is started after the loss and the
+// server sends a line as soon as it is established. If the first line comes late, the connection was opened
+// while server and proxy could not reach each other, and the server may have sent ends after accepting it:
+// another connection is needed.
 //
-// A server may not know of a connection's end: of those of the process that ran here before, or of one closed
-// here while it was silent. Until it has been heard again it may write ends to such a connection, and only
-// one begun after that settles them.
+// A server may not know that a connection is closed: one of the previous process of this proxy, or one that
+// this process closed while the server was silent. Until the server sends a line again, it may write ends to
+// such a connection, and only a connection that is started after that line recovers them.
 //
-// Pure: the owner tells of its connections, whose numbers grow.
+// Pure: does no I/O and reads no clock. The owner reports the events of its connections, whose ids increase.
 #ifndef MINTROCK_SRC_PLATFORM_MISSED_END_TRACKER_HPP_
 #define MINTROCK_SRC_PLATFORM_MISSED_END_TRACKER_HPP_
 
@@ -18,56 +19,58 @@
 
 namespace mintrock::platform {
 
-using ConnectionId = std::uint64_t;  // never used again
+using ConnectionId = std::uint64_t;  // never reused
 
 class MissedEndTracker {
  public:
-  // A server that is well tells its state at once on a new connection; this leaves it a busy moment.
-  static constexpr double kPrompt = 0.2;  // s
+  // A healthy server sends its state at once on a new connection; this allows for a short load peak.
+  static constexpr double kPromptFirstLine = 0.2;  // s
 
-  void connection_begun(ConnectionId which) { last_begun_ = which; }
-  // The process that ran here before held calls of this server.
-  void former_life_had_calls() { former_life_had_calls_ = true; }
-  // Any line has come from the server.
-  void heard() {
-    if (!awaits_word_) return;
-    awaits_word_ = false;
-    doubted_up_to_ = last_begun_;
+  void connection_started(ConnectionId which) { last_started_ = which; }
+  // The previous process of this proxy held calls at this server.
+  void previous_process_had_calls() { previous_process_had_calls_ = true; }
+  // The server sent a line on any connection.
+  void line_received() {
+    if (!awaiting_line_) return;
+    awaiting_line_ = false;
+    unconfirmed_up_to_ = last_started_;
   }
-  // The first line has come on a connection that was up since then. Called after heard().
-  void first_line(ConnectionId which, double up_since, double now) {
-    if (!may_settle(which)) return;
-    if (now <= up_since + kPrompt) {
-      loss_doubted_ = false;
-      start_doubted_ = false;
+  // The first line arrived on a connection that was established at `up_since`. To be called after
+  // line_received().
+  void first_line_received(ConnectionId which, double up_since, double now) {
+    if (!can_confirm(which)) return;
+    if (now <= up_since + kPromptFirstLine) {
+      loss_suspected_ = false;
+      start_unconfirmed_ = false;
     } else {
-      doubted_up_to_ = last_begun_;
+      unconfirmed_up_to_ = last_started_;
     }
   }
-  // An end that was sent up to now may be lost.
-  void doubt() {
-    loss_doubted_ = true;
-    doubted_up_to_ = last_begun_;
+  // An end that was sent before now may be lost.
+  void suspect_loss() {
+    loss_suspected_ = true;
+    unconfirmed_up_to_ = last_started_;
   }
-  // The same, and the server may go on sending ends to where nobody hears them until it is heard.
-  void doubt_until_heard() {
-    doubt();
-    awaits_word_ = true;
+  // As suspect_loss(); in addition, the server may keep sending ends to a closed connection until it sends a
+  // line on an open one.
+  void suspect_loss_until_line_received() {
+    suspect_loss();
+    awaiting_line_ = true;
   }
   // A new connection is needed now.
-  bool doubted() const {
-    return !awaits_word_ && (loss_doubted_ || (start_doubted_ && former_life_had_calls_));
+  bool needs_new_connection() const {
+    return !awaiting_line_ && (loss_suspected_ || (start_unconfirmed_ && previous_process_had_calls_));
   }
-  // The first line on this connection may show that nothing is lost any more.
-  bool may_settle(ConnectionId which) const { return !awaits_word_ && which > doubted_up_to_; }
+  // The first line on this connection can show that no end is missing any more.
+  bool can_confirm(ConnectionId which) const { return !awaiting_line_ && which > unconfirmed_up_to_; }
 
  private:
-  bool former_life_had_calls_ = false;
-  bool start_doubted_ = true;  // ends sent before this process knew the server
-  bool loss_doubted_ = false;
-  bool awaits_word_ = true;
-  ConnectionId doubted_up_to_ = 0;
-  ConnectionId last_begun_ = 0;
+  bool previous_process_had_calls_ = false;
+  bool start_unconfirmed_ = true;  // ends sent before this process connected may be missing
+  bool loss_suspected_ = false;
+  bool awaiting_line_ = true;
+  ConnectionId unconfirmed_up_to_ = 0;  // connections up to this id were started too early to confirm
+  ConnectionId last_started_ = 0;
 };
 
 }  // namespace mintrock::platform
--- a/src/platform/platform_edge.cpp
+++ b/src/platform/platform_edge.cpp
@@ -22,46 +22,51 @@
 using spdlog::level::warn;
 
 constexpr const char* kBusPath = "/bus/read";
-constexpr double kBusAgain = 0.1;  // s until a broken subscription is asked for again
-// A comment comes every second; what a silent bus would have told counts as told after 4 s.
-constexpr double kBusSilent = 2.5;  // s
-
-constexpr std::size_t kMostUnsent = 256 << 10;  // bytes for one side that doesn't read
-constexpr std::size_t kCallsForMegabyte = 64;
-constexpr double kRemember = 15.0;  // s that an ended call's id is known
-constexpr std::size_t kMostRemembered = 8192;
-constexpr std::size_t kMostTakenOver = 20000;
-
-constexpr double kServeOn = 0.9;  // s after SIGTERM that new calls may still come
-// A process that is told to end has the longest deadline for it, or this, whichever is shorter, and then it
-// is killed 0.7 s after that at the earliest: it ends a little sooner by itself.
-constexpr double kLongestEnd = 3.0;   // s
-constexpr double kEndsSooner = 0.45;  // s after the above
-
-// A call that is said to stand at a server which the list hasn't told yet: news may come late.
-constexpr double kUnlisted = 6.0;  // s
-constexpr std::size_t kMostUnlisted = 2048;
-
-std::uint32_t most_calls(const Config& config) {
+constexpr double kBusRetryDelay = 0.1;  // s until a broken subscription is opened again
+// The bus sends a comment every second. An event counts as known to the proxy 4 s after its publication, even
+// if the bus was silent.
+constexpr double kBusSilenceTimeout = 2.5;  // s
+
+constexpr std::size_t kMaxUnsent = 256 << 10;  // bytes buffered for a peer that doesn't read
+constexpr std::size_t kCallsPerMegabyte = 64;
+constexpr double kRememberEnded = 15.0;  // s for which the id of an ended call is kept
+constexpr std::size_t kMaxRemembered = 8192;
+constexpr std::size_t kMaxTakenOver = 20000;
+
+constexpr double kAcceptAfterDrain = 0.9;  // s after SIGTERM during which new calls are still accepted
+// After SIGTERM the process has the longest deadline of the call classes to end, or kMaxDrain, whichever is
+// shorter; it is killed 0.7 s after that at the earliest. It ends by itself kDrainMargin after that time, a
+// little before the kill.
+constexpr double kMaxDrain = 3.0;      // s
+constexpr double kDrainMargin = 0.45;  // s
+
+// How long a call that its caller reports to be established at an unlisted server is kept: the list update
+// that adds the server may be delayed.
+constexpr double kUnlistedTimeout = 6.0;  // s
+constexpr std::size_t kMaxUnlisted = 2048;
+
+std::uint32_t max_calls(const Config& config) {
   return static_cast<std::uint32_t>(
-      std::min<std::size_t>(config.most_open, config.memory_mb * kCallsForMegabyte));
+      std::min<std::size_t>(config.most_open, config.memory_mb * kCallsPerMegabyte));
 }
 
-// A server's name in messages between proxies, whose own numbers for it differ: 48 bits of a hash.
-ServerId common_number(const std::string& identity) {
+// Returns the server's id in messages between proxies, whose local ids for it differ: 48 bits of a hash of
+// its identity.
+ServerId shared_server_id(const std::string& identity) {
   return XXH64(identity.data(), identity.size(), 0) & 0xFFFFFFFFFFFFu;
 }
 
 }  // namespace
 
-// A sixteenth for the process itself, listeners, bus (two at a change) and datagrams; a quarter for core
-// servers; the rest for callers, whose usual ones hold a third of all at most.
+// A sixteenth is for the process itself, listeners, the bus (two connections while its address changes) and
+// datagrams; a quarter is for core servers; the rest is for callers, which usually hold at most a third of
+// all.
 DescriptorBudget::DescriptorBudget(std::uint32_t sockets)
     : callers(sockets - sockets / 4 - std::max(16u, sockets / 16)), core(sockets / 4) {}
 
-std::size_t DescriptorBudget::for_server(std::size_t servers) const {
-  constexpr std::size_t kMost = 16;
-  return std::clamp<std::size_t>(core / std::max<std::size_t>(1, servers), 2, kMost);
+std::size_t DescriptorBudget::per_server(std::size_t servers) const {
+  constexpr std::size_t kMaxPerServer = 16;
+  return std::clamp<std::size_t>(core / std::max<std::size_t>(1, servers), 2, kMaxPerServer);
 }
 
 PlatformEdge::PlatformEdge(net::Loop& loop, Config config, std::string config_file)
@@ -69,7 +74,7 @@
       config_(std::move(config)),
       config_file_(std::move(config_file)),
       budget_(config_.sockets),
-      desk_(config_.instance.settings, config_.seed, most_calls(config_), *this),
+      call_manager_(config_.instance.settings, config_.seed, max_calls(config_), *this),
       callers_(*this),
       order_(config_.offset) {}
 
@@ -81,8 +86,8 @@
 }
 
 void PlatformEdge::start() {
-  desk_.start(loop_.now());
-  for (const TopologyEvent& event : config_.known) take_news(event);
+  call_manager_.start(loop_.now());
+  for (const TopologyEvent& event : config_.known) apply_update(event);
   config_.known.clear();
   open_bus();
   if (config_.has_peers && config_.instance.settings.tells_peers) {
@@ -92,8 +97,8 @@
   }
   listener_ = std::make_unique<net::Listener>(loop_, config_.listen,
                                               [this](int fd, net::Address from) { on_accept(fd, from); });
-  watch();
-  state_timer_ = loop_.after(1.0, [this] { tell_state(); });
+  schedule_timer();
+  state_timer_ = loop_.after(1.0, [this] { log_state(); });
   log_event(info, "started",
             {{"name", config_.name},
              {"listen", config_.listen.str()},
@@ -102,9 +107,9 @@
              {"memory_mb", std::to_string(config_.memory_mb)}});
 }
 
-void PlatformEdge::watch() {
-  double due = std::min({desk_.deadline(), callers_.deadline(), unlisted_due()});
-  for (const auto& [id, core] : cores_) due = std::min(due, core.links->deadline());
+void PlatformEdge::schedule_timer() {
+  double due = std::min({call_manager_.deadline(), callers_.deadline(), unlisted_deadline()});
+  for (const auto& [id, core] : cores_) due = std::min(due, core.connections->deadline());
   if (timer_ != 0 && timer_at_ == due) return;
   loop_.timers().cancel(std::exchange(timer_, 0));
   if (due == std::numeric_limits<double>::infinity()) return;
@@ -112,41 +117,41 @@
   timer_ = loop_.timers().at(due, [this] {
     timer_ = 0;
     const double now = loop_.now();
-    desk_.tick(now);
+    call_manager_.tick(now);
     callers_.tick(now);
-    for (auto& [id, core] : cores_) core.links->tick(now);
+    for (auto& [id, core] : cores_) core.connections->tick(now);
     resolve_unlisted(now);
-    sweep();
-    watch();
+    remove_departed_servers();
+    schedule_timer();
   });
 }
 
-// ---- What the desk asks for ----
+// ---- CallManagerDelegate ----
 
-void PlatformEdge::answer(CallId id, const edge::Verdict& verdict) {
+void PlatformEdge::answer(CallId id, const edge::Verdict& result) {
   const auto found = calls_.find(id);
   if (found == calls_.end()) return;
   Call& call = found->second;
   const double now = loop_.now();
-  switch (verdict.kind) {
+  switch (result.kind) {
     case edge::Verdict::Kind::kStands:
-      call.server = verdict.server;
-      log_event(info, "stands", {{"call", hex_id(call.id)}, {"peer", identity(verdict.server)}});
+      call.server = result.server;
+      log_event(info, "stands", {{"call", hex_id(call.id)}, {"peer", identity(result.server)}});
       callers_.answer(call.id, call.answer, now);
       call.answer.clear();
       call.description.clear();
       call.description.shrink_to_fit();
       return;
     case edge::Verdict::Kind::kRefused: {
-      log_event(info, "refused", {{"call", hex_id(call.id)}, {"detail", verdict.why}});
-      std::optional<std::uint32_t> stay_away_ms;
-      if (verdict.retry_after_s > 0) {
-        stay_away_ms = static_cast<std::uint32_t>(std::ceil(verdict.retry_after_s * 1000));
+      log_event(info, "refused", {{"call", hex_id(call.id)}, {"detail", result.why}});
+      std::optional<std::uint32_t> retry_after_ms;
+      if (result.retry_after_s > 0) {
+        retry_after_ms = static_cast<std::uint32_t>(std::ceil(result.retry_after_s * 1000));
       }
-      return callers_.refuse(call.id, kCauseCongestion, stay_away_ms, now);
+      return callers_.refuse(call.id, kCauseCongestion, retry_after_ms, now);
     }
     default:
-      log_event(info, "failed", {{"call", hex_id(call.id)}, {"detail", verdict.why}});
+      log_event(info, "failed", {{"call", hex_id(call.id)}, {"detail", result.why}});
       return callers_.refuse(call.id, kCauseTemporaryFailure, {}, now);
   }
 }
@@ -167,7 +172,7 @@
   log_event(info, "attempt",
             {{"call", hex_id(call.id)}, {"attempt", std::to_string(attempt)}, {"peer", identity(server)}});
   const auto left_ms = static_cast<std::uint32_t>(std::max(1.0, std::floor(give_up_after_s * 1000)));
-  core->second.links->set_up(
+  core->second.connections->set_up(
       {id, attempt}, call.id,
       write_core_setup(call.id, call.service_class, call.number, left_ms, call.description), loop_.now());
   return edge::Handover::kTaken;
@@ -175,17 +180,17 @@
 
 void PlatformEdge::release(CallId id, std::uint32_t, ServerId server) {
   const auto found = calls_.find(id);
-  CoreConnections* const at = links(server);
-  if (found == calls_.end() || at == nullptr) return;
+  CoreConnections* const connections = find_connections(server);
+  if (found == calls_.end() || connections == nullptr) return;
   log_event(info, "released", {{"call", hex_id(found->second.id)}, {"peer", identity(server)}});
-  at->give_up(found->second.id, loop_.now());
+  connections->release_call(found->second.id, loop_.now());
 }
 
 void PlatformEdge::forget(CallId id) {
   const auto found = calls_.find(id);
   if (found == calls_.end()) return;
-  remember(found->second.id);
-  ids_.erase(found->second.id);
+  remember_ended(found->second.id);
+  call_ids_.erase(found->second.id);
   calls_.erase(found);
 }
 
@@ -195,7 +200,7 @@
   for (const Hearsay& each : hearsay) {
     const auto core = cores_.find(each.server);
     if (core == cores_.end()) continue;
-    common.push_back({common_number(core->second.identity), each.wait_s, each.age_s});
+    common.push_back({shared_server_id(core->second.identity), each.wait_s, each.age_s});
   }
   if (!common.empty()) datagrams_->send(instance::pack_hearsay(common), config_.peers[peer]);
 }
@@ -206,26 +211,26 @@
 
 void PlatformEdge::on_accept(int fd, net::Address from) {
   if (caller_streams_.size() + loop_.closing() >= budget_.callers) {
-    const ConnectionId spare = callers_.spare_connection();
-    if (spare != 0) callers_.close_for_room(spare);
+    const ConnectionId candidate = callers_.spare_connection();
+    if (candidate != 0) callers_.close_for_room(candidate);
   }
-  const auto stream = net::Stream::adopt(loop_, fd, from, kMostUnsent);
+  const auto stream = net::Stream::adopt(loop_, fd, from, kMaxUnsent);
   if (caller_streams_.size() + loop_.closing() >= budget_.callers) return stream->close();
   const ConnectionId id = ++last_connection_;
   caller_streams_[id] = stream;
   stream->set({{},
                [this, id](std::string_view bytes) {
                  callers_.received(id, bytes, loop_.now());
-                 watch();
+                 schedule_timer();
                },
                [this, id](const std::string& why) {
                  log_event(info, "caller_lost", {{"connection", std::to_string(id)}, {"detail", why}});
                  caller_streams_.erase(id);
                  callers_.lost(id, loop_.now());
-                 watch();
+                 schedule_timer();
                }});
   callers_.opened(id, loop_.now());
-  watch();
+  schedule_timer();
 }
 
 void PlatformEdge::send_to_caller(ConnectionId to, std::string_view bytes) {
@@ -238,7 +243,8 @@
   if (found == caller_streams_.end()) return;
   const std::shared_ptr<net::Stream> stream = found->second;
   caller_streams_.erase(found);
-  // A plain close wherever that loses nothing: a set-up that crosses it finds no connection, not an open one.
+  // A plain close is used wherever it loses no data: a set-up that crosses it then fails on a closed
+  // connection, instead of being sent on one that looks open.
   if (stream->wrote_lately()) {
     stream->finish();
   } else {
@@ -252,93 +258,98 @@
 }
 
 const char* PlatformEdge::offer(CallSetup setup) {
-  const auto place = std::find(config_.classes.begin(), config_.classes.end(), setup.service_class);
-  if (place == config_.classes.end()) return "unknown class";
-  if (ids_.count(setup.id) != 0 || taken_over_.count(setup.id) != 0) return "the id of a call that stands";
-  // As large as it can get on its way to a core server, which closes over what is larger.
-  constexpr std::uint32_t kLongest = 4294967295u;
+  const auto found_class = std::find(config_.classes.begin(), config_.classes.end(), setup.service_class);
+  if (found_class == config_.classes.end()) return "unknown class";
+  if (call_ids_.count(setup.id) != 0 || taken_over_.count(setup.id) != 0)
+    return "duplicate id: the call is established or in progress";
+  // The set-up is measured with the longest time value; a core server closes the connection on a larger
+  // message.
+  constexpr std::uint32_t kMaxLeftMs = 4294967295u;
   if (setup.description.size() > kMostMessage / 16 &&
-      write_core_setup(setup.id, setup.service_class, setup.number, kLongest, setup.description).size() >
+      write_core_setup(setup.id, setup.service_class, setup.number, kMaxLeftMs, setup.description).size() >
           kMostMessage) {
-    return "too large to be passed on";
+    return "set-up too large to forward";
   }
-  const CallId id = desk_.next_call();
-  ids_[setup.id] = id;
+  const CallId id = call_manager_.next_call();
+  call_ids_[setup.id] = id;
   Call& call = calls_[id];
   call.id = setup.id;
   call.service_class = std::move(setup.service_class);
   call.number = std::move(setup.number);
   call.description = std::move(setup.description);
   edge::Offer out;
-  out.call_class = static_cast<std::uint32_t>(place - config_.classes.begin());
+  out.call_class = static_cast<std::uint32_t>(found_class - config_.classes.begin());
   out.key = setup.key;
   out.ttl_s = setup.left_s;
   out.lines = setup.width;
   out.first_choice = setup.first_choice;
   out.redialled = setup.redialled;
   out.was_cut = setup.was_cut;
-  desk_.offer(id, out, loop_.now());
+  call_manager_.offer(id, out, loop_.now());
   return nullptr;
 }
 
 const char* PlatformEdge::take_over(const CallSetup& setup) {
-  if (ids_.count(setup.id) != 0 || taken_over_.count(setup.id) != 0) return nullptr;  // held already
-  if (recent_.count(setup.id) != 0) {  // its end was told before its caller named it, maybe to nobody
+  if (call_ids_.count(setup.id) != 0 || taken_over_.count(setup.id) != 0) return nullptr;  // known already
+  if (recently_ended_.count(setup.id) != 0) {
+    // It ended before its caller reported it: the end may have reached nobody.
     callers_.end(setup.id, kCauseTemporaryFailure, loop_.now());
     return nullptr;
   }
-  if (taken_over_.size() >= kMostTakenOver || unlisted_.size() >= kMostUnlisted) {
-    return "too many calls stand already";
+  if (taken_over_.size() >= kMaxTakenOver || unlisted_.size() >= kMaxUnlisted) {
+    return "too many calls taken over";
   }
   const ServerId server = book_.number(setup.stands_at);
-  CoreConnections* const at = links(server);
-  taken_over_[setup.id] = at == nullptr ? 0 : server;
-  if (at != nullptr) {
-    at->take_over(setup.id);
+  CoreConnections* const connections = find_connections(server);
+  taken_over_[setup.id] = connections == nullptr ? 0 : server;
+  if (connections != nullptr) {
+    connections->take_over(setup.id);
   } else {
-    unlisted_.push_back({loop_.now() + kUnlisted, setup.id, setup.stands_at});
+    unlisted_.push_back({loop_.now() + kUnlistedTimeout, setup.id, setup.stands_at});
   }
   return nullptr;
 }
 
-double PlatformEdge::unlisted_due() const {
+double PlatformEdge::unlisted_deadline() const {
   return unlisted_.empty() ? std::numeric_limits<double>::infinity() : unlisted_.front().until;
 }
 
-// Those that the list has told of by now are taken over; those that it doesn't tell of are gone.
+// Takes over the calls whose servers have been listed by now; those whose servers are still unlisted at the
+// timeout have ended.
 void PlatformEdge::resolve_unlisted(double now) {
-  std::vector<std::uint64_t> over;
+  std::vector<std::uint64_t> expired;
   for (auto it = unlisted_.begin(); it != unlisted_.end();) {
     const auto taken = taken_over_.find(it->id);
     const ServerId server = book_.number(it->identity);
-    CoreConnections* const at = links(server);
-    const bool open = taken != taken_over_.end() && taken->second == 0;
-    if (open && at != nullptr) {
+    CoreConnections* const connections = find_connections(server);
+    const bool pending = taken != taken_over_.end() && taken->second == 0;
+    if (pending && connections != nullptr) {
       taken->second = server;
-      at->take_over(it->id);
-    } else if (open && it->until > now) {
+      connections->take_over(it->id);
+    } else if (pending && it->until > now) {
       ++it;
       continue;
-    } else if (open) {
-      over.push_back(it->id);
+    } else if (pending) {
+      expired.push_back(it->id);
     }
     it = unlisted_.erase(it);
   }
-  for (const std::uint64_t id : over) {
+  for (const std::uint64_t id : expired) {
     taken_over_.erase(id);
-    remember(id);
+    remember_ended(id);
     callers_.end(id, kCauseTemporaryFailure, now);
   }
 }
 
 bool PlatformEdge::hang_up(std::uint64_t id) {
-  const auto found = ids_.find(id);
-  if (found != ids_.end()) return desk_.hang_up(found->second, loop_.now());
+  const auto found = call_ids_.find(id);
+  if (found != call_ids_.end()) return call_manager_.hang_up(found->second, loop_.now());
   const auto taken = taken_over_.find(id);
   if (taken == taken_over_.end()) return false;
-  if (CoreConnections* const at = links(taken->second)) at->give_up(id, loop_.now());
+  if (CoreConnections* const connections = find_connections(taken->second))
+    connections->release_call(id, loop_.now());
   taken_over_.erase(taken);
-  remember(id);
+  remember_ended(id);
   return true;
 }
 
@@ -346,11 +357,11 @@
   log_event(warn, "caller_fault", {{"detail", what}});
 }
 
-void PlatformEdge::caller_closed(ConnectionId which, CloseReason reason, std::size_t standing) {
+void PlatformEdge::caller_closed(ConnectionId which, CloseReason reason, std::size_t established) {
   log_event(info, "caller_closed",
             {{"connection", std::to_string(which)},
              {"detail", name(reason)},
-             {"standing", std::to_string(standing)}});
+             {"standing", std::to_string(established)}});
 }
 
 void PlatformEdge::end_told(std::uint64_t id, ConnectionId to) {
@@ -359,9 +370,9 @@
 
 // ---- Core servers ----
 
-CoreConnections* PlatformEdge::links(ServerId server) {
+CoreConnections* PlatformEdge::find_connections(ServerId server) {
   const auto found = cores_.find(server);
-  return found == cores_.end() ? nullptr : found->second.links.get();
+  return found == cores_.end() ? nullptr : found->second.connections.get();
 }
 
 std::string PlatformEdge::identity(ServerId server) const {
@@ -373,31 +384,35 @@
   const ConnectionId id = ++last_connection_;
   std::shared_ptr<net::Stream> stream;
   try {
-    stream = net::Stream::connect(loop_, cores_.at(server).address, kMostUnsent);
+    stream = net::Stream::connect(loop_, cores_.at(server).address, kMaxUnsent);
   } catch (const std::exception& error) {  // no descriptor
     log_event(warn, "core_connect_failed", {{"detail", error.what()}});
     loop_.defer([this, id, server] {
-      if (CoreConnections* const at = links(server)) at->down(id, ConnectionLoss::kNotUp, loop_.now());
-      watch();
+      if (CoreConnections* const connections = find_connections(server))
+        connections->disconnected(id, ConnectionLoss::kNotEstablished, loop_.now());
+      schedule_timer();
     });
     return id;
   }
   core_streams_[id] = {server, stream};
   stream->set({[this, id, server] {
-                 if (CoreConnections* const at = links(server)) at->up(id, loop_.now());
-                 watch();
+                 if (CoreConnections* const connections = find_connections(server))
+                   connections->connected(id, loop_.now());
+                 schedule_timer();
                },
                [this, id, server](std::string_view bytes) {
-                 if (CoreConnections* const at = links(server)) at->received(id, bytes, loop_.now());
-                 watch();
+                 if (CoreConnections* const connections = find_connections(server))
+                   connections->received(id, bytes, loop_.now());
+                 schedule_timer();
                },
                [this, id, server, raw = stream.get()](const std::string&) {
-                 const ConnectionLoss loss =
-                     raw->error() == ECONNREFUSED ? ConnectionLoss::kRefused : ConnectionLoss::kEnded;
+                 const ConnectionLoss loss = raw->error() == ECONNREFUSED ? ConnectionLoss::kRefused
+                                                                          : ConnectionLoss::kClosedByServer;
                  core_streams_.erase(id);
-                 if (CoreConnections* const at = links(server)) at->down(id, loss, loop_.now());
-                 sweep();
-                 watch();
+                 if (CoreConnections* const connections = find_connections(server))
+                   connections->disconnected(id, loss, loop_.now());
+                 remove_departed_servers();
+                 schedule_timer();
                }});
   return id;
 }
@@ -420,76 +435,80 @@
   if (found != core_streams_.end()) found->second.stream->end_writing();
 }
 
-void PlatformEdge::core_stood(const Attempt& who, std::string description, const Report& report) {
-  const auto found = calls_.find(who.call);
+void PlatformEdge::core_call_established(const AttemptId& attempt, std::string description,
+                                         const Report& report) {
+  const auto found = calls_.find(attempt.call);
   if (found != calls_.end()) found->second.answer = std::move(description);
-  desk_.stood(who.call, who.attempt, report, loop_.now());
+  call_manager_.stood(attempt.call, attempt.number, report, loop_.now());
 }
 
-void PlatformEdge::core_ended(const Attempt& who, Outcome outcome, Cause cause, double waited_s,
-                              const Report& report) {
-  const auto found = calls_.find(who.call);
+void PlatformEdge::core_attempt_ended(const AttemptId& attempt, Outcome outcome, Cause cause, double waited_s,
+                                      const Report& report) {
+  const auto found = calls_.find(attempt.call);
   if (found != calls_.end()) {
     log_event(info, "attempt_over",
               {{"call", hex_id(found->second.id)},
-               {"attempt", std::to_string(who.attempt)},
+               {"attempt", std::to_string(attempt.number)},
                {"detail", name(outcome)}});
   }
-  desk_.ended(who.call, who.attempt, outcome, cause, waited_s, report, loop_.now());
+  call_manager_.ended(attempt.call, attempt.number, outcome, cause, waited_s, report, loop_.now());
 }
 
-void PlatformEdge::core_over(ServerId server, std::uint64_t id, bool cut, const Report& report) {
+void PlatformEdge::core_call_ended(ServerId server, std::uint64_t id, bool cut, const Report& report) {
   const double now = loop_.now();
-  desk_.load(server, report, now);
+  call_manager_.load(server, report, now);
   log_event(info, "core_over",
             {{"call", hex_id(id)}, {"peer", identity(server)}, {"detail", cut ? "cut" : "ended"}});
   const int cause = cut ? kCauseTemporaryFailure : kCauseNormal;
-  const auto found = ids_.find(id);
-  if (found != ids_.end()) {
+  const auto found = call_ids_.find(id);
+  if (found != call_ids_.end()) {
     Call& call = calls_.at(found->second);
-    if (call.server == 0 && !cut) return desk_.ran_elsewhere(found->second, now);
-    if (call.server != server) return;  // a second copy of what an earlier attempt met
+    if (call.server == 0 && !cut) return call_manager_.ran_elsewhere(found->second, now);
+    // The end of a duplicate that an earlier attempt left at another server is ignored.
+    if (call.server != server) return;
     call.end_cause = cause;
-    // The attempt's number is not needed where a call stands: there is one.
-    desk_.ended_standing(found->second, cut ? Outcome::kReset : Outcome::kEnded, report, now);
+    // The attempt's number is not needed: only one attempt can be established.
+    call_manager_.ended_standing(found->second, cut ? Outcome::kReset : Outcome::kEnded, report, now);
     return;
   }
   const auto taken = taken_over_.find(id);
   if (taken != taken_over_.end()) {
     if (taken->second != server && taken->second != 0) return;
     taken_over_.erase(taken);
-  } else if (recent_.count(id) != 0) {
+  } else if (recently_ended_.count(id) != 0) {
     return;
   }
-  // Known here, or of this proxy's former life: its caller is told.
-  remember(id);
+  // The call was taken over, or belongs to the previous process: its caller is notified.
+  remember_ended(id);
   callers_.end(id, cause, now);
 }
 
-void PlatformEdge::core_load(ServerId server, const Report& report) {
-  desk_.load(server, report, loop_.now());
+void PlatformEdge::core_load_reported(ServerId server, const Report& report) {
+  call_manager_.load(server, report, loop_.now());
 }
 
-void PlatformEdge::core_fault(ServerId server, const char* what) {
-  log_event(warn, "core_fault", {{"peer", identity(server)}, {"detail", what}});
+void PlatformEdge::core_fault(ServerId server, const char* error) {
+  log_event(warn, "core_fault", {{"peer", identity(server)}, {"detail", error}});
 }
 
-void PlatformEdge::core_run_over(const Attempt& who) { desk_.ran_elsewhere(who.call, loop_.now()); }
+void PlatformEdge::core_unconfirmed_attempt_ended(const AttemptId& attempt) {
+  call_manager_.ran_elsewhere(attempt.call, loop_.now());
+}
 
-void PlatformEdge::core_gone(ServerId server, const char* why, std::size_t standing) {
+void PlatformEdge::core_gone(ServerId server, const char* reason, std::size_t established) {
   log_event(warn, "core_gone",
-            {{"peer", identity(server)}, {"detail", why}, {"standing", std::to_string(standing)}});
+            {{"peer", identity(server)}, {"detail", reason}, {"standing", std::to_string(established)}});
 }
 
-void PlatformEdge::core_connection(ServerId server, ConnectionId which, ConnectionChange change) {
+void PlatformEdge::core_connection_changed(ServerId server, ConnectionId which, ConnectionChange change) {
   log_event(info, "core_connection",
             {{"peer", identity(server)}, {"connection", std::to_string(which)}, {"detail", name(change)}});
 }
 
-void PlatformEdge::core_message(ServerId server, ConnectionId from, const CoreMessage& message,
-                                MessageOwner owner) {
+void PlatformEdge::core_message_received(ServerId server, ConnectionId from, const CoreMessage& message,
+                                         MessageOwner owner) {
   const bool answers = message.type == CoreMessage::Type::kAnswer;
-  if (answers && owner == MessageOwner::kAttempt) return;  // "stands" tells it
+  if (answers && owner == MessageOwner::kAttempt) return;  // logged as "stands"
   log_event(info, "core_message",
             {{"call", hex_id(message.id)},
              {"peer", identity(server)},
@@ -499,24 +518,24 @@
              {"owner", name(owner)}});
 }
 
-void PlatformEdge::remember(std::uint64_t id) {
+void PlatformEdge::remember_ended(std::uint64_t id) {
   const double now = loop_.now();
-  while (!recent_order_.empty() &&
-         (recent_order_.front().first <= now || recent_order_.size() >= kMostRemembered)) {
-    const auto [until, old] = recent_order_.front();
-    recent_order_.pop_front();
-    const auto found = recent_.find(old);
-    if (found != recent_.end() && found->second == until) recent_.erase(found);
+  while (!recently_ended_order_.empty() &&
+         (recently_ended_order_.front().first <= now || recently_ended_order_.size() >= kMaxRemembered)) {
+    const auto [until, old] = recently_ended_order_.front();
+    recently_ended_order_.pop_front();
+    const auto found = recently_ended_.find(old);
+    if (found != recently_ended_.end() && found->second == until) recently_ended_.erase(found);
   }
-  recent_order_.emplace_back(now + kRemember, id);
-  recent_[id] = now + kRemember;
+  recently_ended_order_.emplace_back(now + kRememberEnded, id);
+  recently_ended_[id] = now + kRememberEnded;
 }
 
-// ---- The list ----
+// ---- The server list ----
 
 void PlatformEdge::open_bus() {
   bus_ = std::make_unique<list::Client>(
-      loop_, config_.bus, kBusPath, kBusAgain, kBusSilent, config_.seed,
+      loop_, config_.bus, kBusPath, kBusRetryDelay, kBusSilenceTimeout, config_.seed,
       list::Client::Handlers{[this](const list::SseEvent& event) { on_event(event); },
                              [](const std::string& why) {
                                log_event(warn, "bus_lost", {{"detail", why}});
@@ -527,44 +546,45 @@
 
 void PlatformEdge::on_event(const list::SseEvent& event) {
   using Verdict = list::EventOrder::Verdict;
-  Verdict verdict = Verdict::kSkip;
-  std::string fault = "one before it is missing";
+  Verdict result = Verdict::kSkip;
+  std::string fault = "an earlier event is missing";
   try {
-    const TopologyEvent news = parse_topology_event(event.data, config_.kinds);
-    verdict = order_.judge(news.offset, news.update.full);
-    if (verdict == Verdict::kTake) take_news(news);
+    const TopologyEvent topology = parse_topology_event(event.data, config_.kinds);
+    result = order_.judge(topology.offset, topology.update.full);
+    if (result == Verdict::kTake) apply_update(topology);
   } catch (const std::exception& error) {
-    verdict = order_.unreadable();
+    result = order_.unreadable();
     fault = error.what();
   }
-  if (verdict == Verdict::kAskAgain) {
+  if (result == Verdict::kAskAgain) {
     log_event(warn, "event_bad", {{"id", event.id}, {"detail", fault}});
-    loop_.defer([this] {  // not within the watch's own call
+    loop_.defer([this] {  // not within a callback of the subscription that it replaces
       order_.begun_again();
       bus_->again_after(std::to_string(order_.last()));
     });
   }
-  watch();
+  schedule_timer();
 }
 
-void PlatformEdge::take_news(const TopologyEvent& event) {
+void PlatformEdge::apply_update(const TopologyEvent& event) {
   for (const std::string& fault : event.update.faults) log_event(warn, "host_malformed", {{"detail", fault}});
   const double now = loop_.now();
   const double wall = net::wall_now();
   const ServerList moved = book_.retire_moved(event.update);
   if (!book_.take(event.update)) return;
-  if (!moved.entries.empty()) desk_.list(moved, now);
-  // Told to the Controller first: what is drained must be known before anything that waits is looked at
+  if (!moved.entries.empty()) call_manager_.list(moved, now);
+  // The Controller is updated first: it must know which servers drain before queued set-ups are decided
   // again.
-  desk_.list(book_.event(event.update, event.update.full ? ServerList::Mode::kFull : ServerList::Mode::kDelta,
-                         now, wall),
-             now);
+  call_manager_.list(
+      book_.event(event.update, event.update.full ? ServerList::Mode::kFull : ServerList::Mode::kDelta, now,
+                  wall),
+      now);
   std::size_t alive = 0;
   for (const auto& [id, entry] : book_.entries()) alive += entry.state != ServerEntry::State::kGone;
   for (const auto& [id, entry] : book_.entries()) {
     if (entry.state == ServerEntry::State::kGone && cores_.count(id) == 0) continue;
-    Core& core = cores_[id];
-    if (!core.links) {
+    CoreServer& core = cores_[id];
+    if (!core.connections) {
       core.identity = entry.identity;
       try {
         core.address = net::parse_address(entry.address);
@@ -573,44 +593,46 @@
         cores_.erase(id);
         continue;
       }
-      core.links = std::make_unique<CoreConnections>(
-          id, CoreConnections::Settings{config_.connect_s, budget_.for_server(alive), config_.seed + id},
+      core.connections = std::make_unique<CoreConnections>(
+          id, CoreConnections::Settings{config_.connect_s, budget_.per_server(alive), config_.seed + id},
           *this, core_counters_);
     }
     core.state = entry.state;
-    core.links->set_state(entry.state, now);
+    core.connections->set_state(entry.state, now);
   }
-  // An address is the one's that was told to serve there last.
+  // An address belongs to the server that was last listed as ready there.
   for (const list::Entry& entry : event.update.entries) {
-    const auto told = cores_.find(book_.number(entry.identity));
-    if (told == cores_.end() || entry.state != ServerEntry::State::kReady) continue;
+    const auto latest = cores_.find(book_.number(entry.identity));
+    if (latest == cores_.end() || entry.state != ServerEntry::State::kReady) continue;
     for (auto& [other, old] : cores_) {
-      if (other != told->first && old.address == told->second.address) old.links->moved_away(now);
+      if (other != latest->first && old.address == latest->second.address)
+        old.connections->address_reassigned(now);
     }
-    told->second.links->moved_back();
+    latest->second.connections->address_restored();
   }
   resolve_unlisted(now);
-  sweep();
+  remove_departed_servers();
   log_event(info, "list", {{"revision", std::to_string(event.offset)}, {"servers", std::to_string(alive)}});
 }
 
-// Servers that left the list and hold nothing are forgotten.
-void PlatformEdge::sweep() {
+// Forgets servers that left the list and hold no calls.
+void PlatformEdge::remove_departed_servers() {
   for (auto it = cores_.begin(); it != cores_.end();) {
-    if (it->second.state != ServerEntry::State::kGone || !it->second.links->idle()) {
+    if (it->second.state != ServerEntry::State::kGone || !it->second.connections->idle()) {
       ++it;
       continue;
     }
-    it->second.links->set_state(ServerEntry::State::kGone, loop_.now());  // closes what is left
+    // Closes the remaining connections.
+    it->second.connections->set_state(ServerEntry::State::kGone, loop_.now());
     book_.forget(it->first);
     it = cores_.erase(it);
   }
 }
 
-// What this proxy believes, to be held against what its core servers and callers saw.
-void PlatformEdge::tell_state() {
-  constexpr double kEvery = 10.0;  // s
-  const edge::DeskCounts& d = desk_.counts();
+// Logs the proxy's own counts, for comparison with what its core servers and callers saw.
+void PlatformEdge::log_state() {
+  constexpr double kInterval = 10.0;  // s
+  const edge::DeskCounts& d = call_manager_.counts();
   const CallerCounts& c = callers_.counts();
   const auto text = [](std::uint64_t value) { return std::to_string(value); };
   log_event(info, "state",
@@ -624,8 +646,8 @@
              {"timed_out", text(d.timed_out)},
              {"cancelled", text(d.cancelled)},
              {"ended", text(d.ended + d.cut)},
-             {"open", text(desk_.open())},
-             {"standing", text(desk_.standing())},
+             {"open", text(call_manager_.open())},
+             {"standing", text(call_manager_.standing())},
              {"taken_over", text(taken_over_.size())},
              {"callers", text(callers_.connections())},
              {"caller_faults", text(c.faults)},
@@ -635,44 +657,46 @@
              {"ends_repeated", text(c.ends_repeated)},
              {"core_lost", text(core_counters_.lost)},
              {"core_refused", text(core_counters_.refused)},
-             {"core_not_up", text(core_counters_.not_up)},
-             {"core_spoilt", text(core_counters_.spoilt)},
-             {"core_late", text(core_counters_.late)},
-             {"core_doubled", text(core_counters_.doubled)},
-             {"core_stranger", text(core_counters_.stranger)}});
+             {"core_not_up", text(core_counters_.connect_timeouts)},
+             {"core_spoilt", text(core_counters_.unreadable)},
+             {"core_late", text(core_counters_.late_answers)},
+             {"core_doubled", text(core_counters_.duplicate_answers)},
+             {"core_stranger", text(core_counters_.unsolicited_answers)}});
   for (const auto& [id, core] : cores_) {
     log_event(info, "core",
               {{"peer", core.identity},
-               {"out", text(core.links->out())},
-               {"standing", text(core.links->standing())},
-               {"connections", text(core.links->connections())},
-               {"owed", text(core.links->owed())}});
+               {"out", text(core.connections->in_flight())},
+               {"standing", text(core.connections->established())},
+               {"connections", text(core.connections->connections())},
+               {"owed", text(core.connections->pending_releases())}});
   }
-  state_timer_ = loop_.after(kEvery, [this] { tell_state(); });
+  state_timer_ = loop_.after(kInterval, [this] { log_state(); });
 }
 
 // ---- Other proxies ----
 
 void PlatformEdge::on_datagram(std::string_view bytes, net::Address from) {
   if (std::find(config_.peers.begin(), config_.peers.end(), from) == config_.peers.end()) return;
-  PeerNews news;
+  PeerNews update;
   for (const Hearsay& each : instance::unpack_hearsay(bytes)) {
     for (const auto& [id, core] : cores_) {
-      if (common_number(core.identity) == each.server) news.hearsay.push_back({id, each.wait_s, each.age_s});
+      if (shared_server_id(core.identity) == each.server)
+        update.hearsay.push_back({id, each.wait_s, each.age_s});
     }
   }
-  if (news.hearsay.empty()) return;
-  desk_.peer_news(news, loop_.now());
-  watch();
+  if (update.hearsay.empty()) return;
+  call_manager_.peer_news(update, loop_.now());
+  schedule_timer();
 }
 
 // ---- Operators ----
 
-void PlatformEdge::reload() { read_reload(5); }
+void PlatformEdge::reload() { try_reload(5); }
 
-// A file that is being replaced may be half written: it is read again a few times, and the old one stands.
-void PlatformEdge::read_reload(int tries) {
-  constexpr double kAgain = 0.2;  // s
+// A file that is being replaced may be half written: it is read again a few times, and the previous settings
+// stay in effect until it can be read.
+void PlatformEdge::try_reload(int tries_left) {
+  constexpr double kRetryDelay = 0.2;  // s
   net::Address bus;
   try {
     std::ifstream in(config_file_);
@@ -681,7 +705,7 @@
     bus = parse_bus(text.str());
   } catch (const std::exception& error) {
     log_event(warn, "reload_failed", {{"detail", error.what()}});
-    if (tries > 1) loop_.after(kAgain, [this, tries] { read_reload(tries - 1); });
+    if (tries_left > 1) loop_.after(kRetryDelay, [this, tries_left] { try_reload(tries_left - 1); });
     return;
   }
   log_event(info, "reloaded", {{"bus", bus.str()}});
@@ -695,19 +719,19 @@
   draining_ = true;
   double longest = 0;
   for (const auto& each : config_.instance.settings.classes) longest = std::max(longest, each.deadline_s);
-  serve_until_ = loop_.now() + kServeOn;
-  drain_until_ = std::max(serve_until_, loop_.now() + std::min(kLongestEnd, longest) + kEndsSooner);
-  log_event(info, "draining", {{"open", std::to_string(desk_.open())}});
-  drained();
+  accept_until_ = loop_.now() + kAcceptAfterDrain;
+  drain_until_ = std::max(accept_until_, loop_.now() + std::min(kMaxDrain, longest) + kDrainMargin);
+  log_event(info, "draining", {{"open", std::to_string(call_manager_.open())}});
+  continue_drain();
 }
 
-// Nobody comes any more after serve_until_: what the system has accepted is taken, and each connection is
-// closed when nothing on it is open, behind its last answer and over nothing unread. Whatever is still open
-// at drain_until_ gets its final answer then.
-void PlatformEdge::drained() {
-  constexpr double kLook = 0.02;  // s
+// No new callers are expected after accept_until_: connections that the kernel has accepted are taken, and
+// the listener is closed. Each connection is closed once no set-up on it is open, its last answer is written
+// and no received bytes are unread. Set-ups that are still open at drain_until_ get their final answer then.
+void PlatformEdge::continue_drain() {
+  constexpr double kPollInterval = 0.02;  // s
   const double now = loop_.now();
-  if (now >= serve_until_ && !leaving_) {
+  if (now >= accept_until_ && !leaving_) {
     leaving_ = true;
     listener_->accept_pending();
     listener_.reset();
@@ -715,23 +739,25 @@
     callers_.tick(now);
   }
   if (now >= drain_until_) {
-    desk_.answer_all(now);
+    call_manager_.answer_all(now);
     callers_.close_all();
   }
-  std::size_t owed = 0;
-  for (const auto& [id, core] : cores_) owed += core.links->owed() + core.links->releases_in_doubt(now);
+  std::size_t releases = 0;
+  for (const auto& [id, core] : cores_)
+    releases += core.connections->pending_releases() + core.connections->unconfirmed_releases(now);
   const bool callers_gone = leaving_ && callers_.connections() == 0 && loop_.closing() == 0;
-  // An end that comes now can be told by the next process alone: nothing owed is worth its delay.
-  const bool done = callers_gone && (owed == 0 || callers_.ends_waiting() > 0);
-  constexpr double kLastBytes = 0.2;  // s for what was written last
-  if (done || now >= drain_until_ + kLastBytes) {
+  // An end that is received now can only be sent by the next process: it must not be delayed for the sake of
+  // unconfirmed releases.
+  const bool done = callers_gone && (releases == 0 || callers_.ends_waiting() > 0);
+  constexpr double kFlushTime = 0.2;  // s for the last bytes to be sent
+  if (done || now >= drain_until_ + kFlushTime) {
     loop_.timers().cancel(state_timer_);
-    tell_state();
-    log_event(info, "stopped", {{"standing", std::to_string(desk_.standing())}});
+    log_state();
+    log_event(info, "stopped", {{"standing", std::to_string(call_manager_.standing())}});
     return loop_.stop();
   }
-  watch();
-  loop_.after(kLook, [this] { drained(); });
+  schedule_timer();
+  loop_.after(kPollInterval, [this] { continue_drain(); });
 }
 
 }  // namespace mintrock::platform
--- a/src/platform/platform_edge.hpp
+++ b/src/platform/platform_edge.hpp
@@ -1,5 +1,5 @@
-// The edge proxy on the users' platform: joins the desk, the callers' side, the links to core servers, the
-// event bus and the other proxies on one loop. Nothing is decided here.
+// The edge proxy on the users' platform: connects the call manager, the caller side, the connections to core
+// servers, the event bus and the other proxies on one event loop. It makes no decisions itself.
 #ifndef MINTROCK_SRC_PLATFORM_PLATFORM_EDGE_HPP_
 #define MINTROCK_SRC_PLATFORM_PLATFORM_EDGE_HPP_
 
@@ -21,12 +21,12 @@
 
 namespace mintrock::platform {
 
-// How the descriptors that this process may hold are shared out.
+// How the file descriptors of this process are divided.
 struct DescriptorBudget {
   explicit DescriptorBudget(std::uint32_t sockets);
-  std::size_t callers;  // connections from callers, those that close among them
+  std::size_t callers;  // connections from callers, including those that are closing
   std::size_t core;     // connections to core servers
-  std::size_t for_server(std::size_t servers) const;
+  std::size_t per_server(std::size_t servers) const;
 };
 
 class PlatformEdge : public edge::DeskPorts, public CallerPorts, public CoreConnectionsDelegate {
@@ -36,11 +36,11 @@
 
   void start();
   void reload();  // the configuration file was replaced
-  void drain();   // what is open is answered, then the loop stops
+  void drain();   // answers all open set-ups, then stops the loop
 
   net::Address listening() const { return listener_->local(); }
   const CallerSide& callers() const { return callers_; }
-  const edge::CallDesk& desk() const { return desk_; }
+  const edge::CallDesk& call_manager() const { return call_manager_; }
   const CoreCounters& core_counters() const { return core_counters_; }
   std::size_t servers() const { return cores_.size(); }
   std::size_t calls() const { return calls_.size(); }
@@ -52,22 +52,22 @@
     std::string number;
     std::string description;
     std::string answer;            // the core server's description
-    int end_cause = kCauseNormal;  // of its end, once it stood
-    ServerId server = 0;           // where it stands
+    int end_cause = kCauseNormal;  // of the end of the established call
+    ServerId server = 0;           // where the call is established; 0: not yet
   };
-  struct Core {
+  struct CoreServer {
     net::Address address;
     std::string identity;
     ServerEntry::State state = ServerEntry::State::kReady;
-    std::unique_ptr<CoreConnections> links;
+    std::unique_ptr<CoreConnections> connections;
   };
   struct CoreStream {
     ServerId server = 0;
     std::shared_ptr<net::Stream> stream;
   };
 
-  // ---- DeskPorts ----
-  void answer(CallId call, const edge::Verdict& verdict) override;
+  // ---- CallManagerDelegate ----
+  void answer(CallId call, const edge::Verdict& result) override;
   void cut(CallId call) override;
   edge::Handover send_setup(CallId call, std::uint32_t attempt, ServerId server,
                             double give_up_after_s) override;
@@ -77,7 +77,7 @@
   void tell_peer(std::uint32_t peer, const std::vector<Hearsay>& hearsay) override;
   void log(const std::string& text) override;
 
-  // ---- CallerPorts ----
+  // ---- CallerSideDelegate ----
   void send_to_caller(ConnectionId to, std::string_view bytes) override;
   void close_caller(ConnectionId which) override;
   bool has_unread(ConnectionId which) override;
@@ -85,7 +85,7 @@
   const char* take_over(const CallSetup& setup) override;
   bool hang_up(std::uint64_t id) override;
   void caller_fault(ConnectionId from, const char* what) override;
-  void caller_closed(ConnectionId which, CloseReason reason, std::size_t standing) override;
+  void caller_closed(ConnectionId which, CloseReason reason, std::size_t established) override;
   void end_told(std::uint64_t id, ConnectionId to) override;
 
   // ---- CoreConnectionsDelegate ----
@@ -93,60 +93,61 @@
   void send_to_core(ConnectionId to, std::string_view bytes) override;
   void close_core(ConnectionId which) override;
   void retire_core(ConnectionId which) override;
-  void core_stood(const Attempt& who, std::string description, const Report& report) override;
-  void core_ended(const Attempt& who, Outcome outcome, Cause cause, double waited_s,
-                  const Report& report) override;
-  void core_over(ServerId server, std::uint64_t id, bool cut, const Report& report) override;
-  void core_load(ServerId server, const Report& report) override;
-  void core_fault(ServerId server, const char* what) override;
-  void core_run_over(const Attempt& who) override;
-  void core_gone(ServerId server, const char* why, std::size_t standing) override;
-  void core_connection(ServerId server, ConnectionId which, ConnectionChange change) override;
-  void core_message(ServerId server, ConnectionId from, const CoreMessage& message,
-                    MessageOwner owner) override;
+  void core_call_established(const AttemptId& attempt, std::string description,
+                             const Report& report) override;
+  void core_attempt_ended(const AttemptId& attempt, Outcome outcome, Cause cause, double waited_s,
+                          const Report& report) override;
+  void core_call_ended(ServerId server, std::uint64_t id, bool cut, const Report& report) override;
+  void core_load_reported(ServerId server, const Report& report) override;
+  void core_fault(ServerId server, const char* error) override;
+  void core_unconfirmed_attempt_ended(const AttemptId& attempt) override;
+  void core_gone(ServerId server, const char* reason, std::size_t established) override;
+  void core_connection_changed(ServerId server, ConnectionId which, ConnectionChange change) override;
+  void core_message_received(ServerId server, ConnectionId from, const CoreMessage& message,
+                             MessageOwner owner) override;
 
   void on_accept(int fd, net::Address from);
   void on_event(const list::SseEvent& event);
-  void take_news(const TopologyEvent& event);
+  void apply_update(const TopologyEvent& event);
   void on_datagram(std::string_view bytes, net::Address from);
   void open_bus();
-  void read_reload(int tries);
-  void drained();
-  void remember(std::uint64_t id);
+  void try_reload(int tries_left);
+  void continue_drain();
+  void remember_ended(std::uint64_t id);
   void resolve_unlisted(double now);
-  double unlisted_due() const;
-  CoreConnections* links(ServerId server);
-  std::string identity(ServerId server) const;  // as the list names it; empty: not known
-  void sweep();
-  void tell_state();  // to the log, now and then
-  void watch();       // the timers of all parts ride on one of the loop's
+  double unlisted_deadline() const;
+  CoreConnections* find_connections(ServerId server);
+  std::string identity(ServerId server) const;  // the server's name in the list; empty if unknown
+  void remove_departed_servers();
+  void log_state();       // periodically
+  void schedule_timer();  // one timer of the loop serves the deadlines of all parts
 
   net::Loop& loop_;
   Config config_;
   std::string config_file_;
   DescriptorBudget budget_;
-  edge::CallDesk desk_;
+  edge::CallDesk call_manager_;
   CallerSide callers_;
   list::Book book_;
   list::EventOrder order_;
-  std::map<ServerId, Core> cores_;
+  std::map<ServerId, CoreServer> cores_;
   CoreCounters core_counters_;
   ConnectionId last_connection_ = 0;
   std::unordered_map<ConnectionId, std::shared_ptr<net::Stream>> caller_streams_;
   std::unordered_map<ConnectionId, CoreStream> core_streams_;
   std::unordered_map<CallId, Call> calls_;
-  std::unordered_map<std::uint64_t, CallId> ids_;
-  std::unordered_map<std::uint64_t, ServerId> taken_over_;  // calls that stood before this process began
-  // Of those, the ones at servers that the list hasn't told yet; their ServerId is 0 meanwhile.
+  std::unordered_map<std::uint64_t, CallId> call_ids_;
+  std::unordered_map<std::uint64_t, ServerId> taken_over_;  // calls established before this process started
+  // The entries of taken_over_ at servers that are not listed yet; their ServerId is 0 meanwhile.
   struct Unlisted {
     double until = 0;
     std::uint64_t id = 0;
     std::string identity;
   };
   std::deque<Unlisted> unlisted_;
-  // Calls that ended lately: what still comes of them is no news.
-  std::deque<std::pair<double, std::uint64_t>> recent_order_;
-  std::unordered_map<std::uint64_t, double> recent_;
+  // Ids of calls that ended recently: late messages about them are ignored.
+  std::deque<std::pair<double, std::uint64_t>> recently_ended_order_;
+  std::unordered_map<std::uint64_t, double> recently_ended_;
   std::unique_ptr<net::Listener> listener_;
   std::unique_ptr<net::Datagrams> datagrams_;
   std::unique_ptr<list::Client> bus_;
@@ -154,7 +155,7 @@
   double timer_at_ = 0;
   net::TimerId state_timer_ = 0;
   double drain_until_ = 0;
-  double serve_until_ = 0;
+  double accept_until_ = 0;
   bool draining_ = false;
   bool leaving_ = false;
 };
--- a/src/platform/topology.hpp
+++ b/src/platform/topology.hpp
@@ -1,7 +1,7 @@
-// The event bus's news of core servers, read and checked.
+// Parses and checks the event bus's updates of the list of core servers.
 //
-// Pure: text in, news out. An entry that is broken is left out and named; text that is no event throws
-// std::runtime_error.
+// Pure: does no I/O and reads no clock. A malformed entry is left out and reported in the update's faults;
+// text that is not an event throws std::runtime_error.
 #ifndef MINTROCK_SRC_PLATFORM_TOPOLOGY_HPP_
 #define MINTROCK_SRC_PLATFORM_TOPOLOGY_HPP_
 
@@ -14,11 +14,11 @@
 namespace mintrock::platform {
 
 struct TopologyEvent {
-  std::uint64_t offset = 0;  // its number; update.revision is the same
+  std::uint64_t offset = 0;  // the event's number; equal to update.revision
   list::News update;
 };
 
-// `kinds`: names of the machine kinds, in order.
+// `kinds` are the names of the machine kinds; an entry's kind is its index there.
 TopologyEvent parse_topology_event(const std::string& json, const std::vector<std::string>& kinds);
 
 }  // namespace mintrock::platform
--- a/tests/platform/core_codec_test.cpp
+++ b/tests/platform/core_codec_test.cpp
@@ -7,19 +7,19 @@
 namespace mintrock::platform {
 namespace {
 
-std::optional<CoreMessage> read(const std::string& line, std::string& why) {
+std::optional<CoreMessage> read(const std::string& line, std::string& error) {
   const char* fault = nullptr;
   auto message = read_core_message(line, fault);
-  why = fault == nullptr ? "" : fault;
+  error = fault == nullptr ? "" : fault;
   return message;
 }
 
 TEST(CoreCodec, ReadsAnAnswerWithItsLoad) {
-  std::string why;
+  std::string error;
   const auto message = read(
       R"({"type":"answer","id":"9b1f03aa5c7e2d41","fields":{"load":"spare:12;total:40;mean_ms:80;allowed:3"},"sdp":"v=0\r\n"})",
-      why);
-  ASSERT_TRUE(message) << why;
+      error);
+  ASSERT_TRUE(message) << error;
   EXPECT_EQ(message->type, CoreMessage::Type::kAnswer);
   EXPECT_EQ(message->id, 0x9b1f03aa5c7e2d41u);
   EXPECT_EQ(message->description, "v=0\r\n");
@@ -29,29 +29,29 @@
   EXPECT_FALSE(message->report.queue);
 }
 
-TEST(CoreCodec, ReadsARefusalWithNumbersAsNumbersOrText) {
-  std::string why;
+TEST(CoreCodec, ReadsRefusalWithNumbersAsNumbersOrStrings) {
+  std::string error;
   for (const char* waited : {"250", "\"250\""}) {
     const auto message =
         read(R"({"type":"release","id":"9b1f03aa5c7e2d41","fields":{"note":"cpu_full","waited":)" +
                  std::string(waited) + R"(},"cause":34})",
-             why);
-    ASSERT_TRUE(message) << why;
+             error);
+    ASSERT_TRUE(message) << error;
     EXPECT_EQ(message->cause, 34);
     EXPECT_EQ(message->note, "cpu_full");
     EXPECT_DOUBLE_EQ(message->waited_s, 0.25);
   }
 }
 
-// A figure below 0 is how 'not known' is written: taken as a wait it would open every server.
-TEST(CoreCodec, ReportsLeaveOutWhatIsNotKnown) {
+// A negative figure means 'unknown'; taken as a wait it would open every server.
+TEST(CoreCodec, ReportLeavesOutUnknownValues) {
   const Report report = read_report("spare:3;total:9;mean_ms:-1;allowed:-1;other:x;;:5");
   EXPECT_EQ(report.spare, 3);
   EXPECT_EQ(report.total, 9);
   EXPECT_FALSE(report.wait_s);
 }
 
-TEST(CoreCodec, EverySpoiltLineHasAName) {
+TEST(CoreCodec, EveryMalformedLineHasAnErrorText) {
   for (const char* bad : {"",
                           "nonsense",
                           "[]",
@@ -72,45 +72,46 @@
                           R"({"type":"release","id":"9b1f03aa5c7e2d41","cause":16,"fields":[]})",
                           R"({"type":"release","id":"9b1f03aa5c7e2d41","cause":16,"fields":{"note":{}}})",
                           "{\"type\":\"answer\",\"id\":\"9b1f03aa5c7e2d41\",\"sdp\":\"\xff\xfe\"}"}) {
-    std::string why;
-    EXPECT_FALSE(read(bad, why)) << bad;
-    EXPECT_FALSE(why.empty()) << bad;
+    std::string error;
+    EXPECT_FALSE(read(bad, error)) << bad;
+    EXPECT_FALSE(error.empty()) << bad;
   }
 }
 
-TEST(CoreCodec, CutsLinesAndStopsAtOneThatNeverEnds) {
-  LineSplitter cutter;
-  cutter.feed("a\nb");
-  EXPECT_EQ(cutter.next(), "a");
-  EXPECT_FALSE(cutter.next());
-  cutter.feed("c\n\n");
-  EXPECT_EQ(cutter.next(), "bc");
-  EXPECT_EQ(cutter.next(), "");
-  for (int i = 0; i < 100 && !cutter.too_long(); ++i) {
-    cutter.feed(std::string(1000, 'x'));
-    EXPECT_FALSE(cutter.next());
-    EXPECT_LT(i, 17) << "held more than a message";
+TEST(CoreCodec, SplitsLinesAndStopsAtOverlongOne) {
+  LineSplitter splitter;
+  splitter.feed("a\nb");
+  EXPECT_EQ(splitter.next(), "a");
+  EXPECT_FALSE(splitter.next());
+  splitter.feed("c\n\n");
+  EXPECT_EQ(splitter.next(), "bc");
+  EXPECT_EQ(splitter.next(), "");
+  for (int i = 0; i < 100 && !splitter.too_long(); ++i) {
+    splitter.feed(std::string(1000, 'x'));
+    EXPECT_FALSE(splitter.next());
+    EXPECT_LT(i, 17) << "more than one message is buffered";
   }
-  EXPECT_TRUE(cutter.too_long());
+  EXPECT_TRUE(splitter.too_long());
 }
 
-TEST(CoreCodec, SetupsCarryWhatTheCallerWrote) {
+TEST(CoreCodec, SetupCarriesTheCallersFields) {
   EXPECT_EQ(write_core_setup(0x9b1f03aa5c7e2d41, "voice", "7f", 1500, "c=IN\r\n\"\xc3\xa9"),
             "{\"fields\":{\"class\":\"voice\",\"key\":\"7f\",\"left\":\"1500\"},\"id\":\"9b1f03aa5c7e2d41\","
             "\"sdp\":\"c=IN\\r\\n\\\"\xc3\xa9\",\"type\":\"setup\"}\n");
 }
 
-TEST(CoreCodec, CausesBeforeTheAnswer) {
-  EXPECT_EQ(ending_before_answer(34, "all_trunks_busy").outcome, Outcome::kFull);
-  EXPECT_EQ(ending_before_answer(34, "all_trunks_busy").cause, Cause::kNoLine);
-  EXPECT_EQ(ending_before_answer(34, "cpu_full").cause, Cause::kProcessorFull);
-  EXPECT_EQ(ending_before_answer(17, "number_busy").outcome, Outcome::kError);
-  EXPECT_EQ(ending_before_answer(17, "number_busy").cause, Cause::kNumberBusy);
-  EXPECT_EQ(ending_before_answer(47, "").outcome, Outcome::kError);
-  EXPECT_EQ(ending_before_answer(102, "").outcome, Outcome::kNotSent);
-  EXPECT_EQ(ending_before_answer(41, "").outcome, Outcome::kReset);
-  EXPECT_EQ(ending_before_answer(16, "").outcome, Outcome::kEnded) << "it ran; it must not run again";
-  EXPECT_EQ(ending_before_answer(200, "").outcome, Outcome::kReset);
+TEST(CoreCodec, MapsReleaseCausesBeforeTheAnswer) {
+  EXPECT_EQ(result_before_answer(34, "all_trunks_busy").outcome, Outcome::kFull);
+  EXPECT_EQ(result_before_answer(34, "all_trunks_busy").cause, Cause::kNoLine);
+  EXPECT_EQ(result_before_answer(34, "cpu_full").cause, Cause::kProcessorFull);
+  EXPECT_EQ(result_before_answer(17, "number_busy").outcome, Outcome::kError);
+  EXPECT_EQ(result_before_answer(17, "number_busy").cause, Cause::kNumberBusy);
+  EXPECT_EQ(result_before_answer(47, "").outcome, Outcome::kError);
+  EXPECT_EQ(result_before_answer(102, "").outcome, Outcome::kNotSent);
+  EXPECT_EQ(result_before_answer(41, "").outcome, Outcome::kReset);
+  EXPECT_EQ(result_before_answer(16, "").outcome, Outcome::kEnded)
+      << "it was established and must not be set up again";
+  EXPECT_EQ(result_before_answer(200, "").outcome, Outcome::kReset);
 }
 
 }  // namespace
