--- a/src/platform/core_connections.hpp
+++ b/src/platform/core_connections.hpp
@@ -118,7 +118,7 @@
 
   // ---- From the call manager ----
   void set_up(const AttemptId& attempt, std::uint64_t id, std::string message, double now);
-  // Frees what the server holds of the call: abandons a set-up in flight, or cuts an established call.
+  // Frees what the server holds of the call: abandons a set-up, or releases an established call.
   void release_call(std::uint64_t id, double now);
   // Adds a call that its caller reports to be established at this server already.
   void take_over(std::uint64_t id) {
@@ -142,6 +142,7 @@
 
   bool idle() const { return in_flight_.empty() && established_.empty() && pending_releases_.empty(); }
   std::size_t connections() const { return connections_.size(); }
+  // Set-ups that are not answered yet, including those queued for a connection.
   std::size_t in_flight() const { return in_flight_.size(); }
   std::size_t established() const { return established_.size(); }
   std::size_t pending_releases() const { return pending_releases_.size(); }
@@ -163,10 +164,11 @@
     LineSplitter splitter;
     std::set<std::uint64_t> in_flight;  // set-ups written and not yet answered
     std::deque<std::uint64_t> queued;   // set-ups to be written once the connection is up
-    std::unordered_set<std::uint64_t>
-        abandoned;                          // an answer with such an id is late; bounded by kMaxAbandoned
+    // Ids of abandoned attempts, whose answers are late; bounded by kMaxAbandoned.
+    std::unordered_set<std::uint64_t> abandoned;
     std::deque<SentRelease> sent_releases;  // recent ones that the server has not acknowledged
   };
+  // A set-up that is not answered yet; `message` is kept until it is written.
   struct InFlight {
     AttemptId attempt;
     ConnectionId on = 0;
