--- a/benchmarks/call_path.cpp
+++ b/benchmarks/call_path.cpp
@@ -74,7 +74,7 @@
   void release(CallId, std::uint32_t, ServerId) override {}
   void forget(CallId) override {}
   void subscribe() override {}
-  void tell_peer(std::uint32_t, const std::vector<Hearsay>&) override {}
+  void tell_peer(std::uint32_t, const std::vector<GossipEntry>&) override {}
   void log(const std::string&) override {}
 };
 
--- a/include/mintrock/controller.hpp
+++ b/include/mintrock/controller.hpp
@@ -26,7 +26,7 @@
 // What the operators tell a Controller once, at start. Each default is what is assumed when nothing was told.
 struct Settings {
   struct Class {
-    double aim_s = 1.0;       // stands within this time of the caller's first try: full worth
+    double target_s = 1.0;    // stands within this time of the caller's first try: full worth
     double deadline_s = 1.0;  // how long a caller goes on trying, from the first try
     double value = 1.0;       // worth of a call that stands
     Effect effect = Effect::kRepeatable;
@@ -43,11 +43,11 @@
   double max_retry_after_s = 0.0;   // the longest advice that callers heed
   bool can_cancel = false;          // CancelAttempt is allowed
   bool gives_retry_after = false;   // callers are given retry_after_s
-  bool asks_for_list = false;       // the server list comes only after Subscribe
+  bool must_subscribe = false;      // the server list comes only after Subscribe
   std::uint32_t fleet_size = 1;     // proxies before these servers
   std::uint32_t own_number = 0;     // this one's number among them, from 0
   bool marks_redials = false;       // NewCall::redialled is told
-  bool tells_peers = false;         // TellPeer is allowed
+  bool can_tell_peers = false;      // TellPeer is allowed
 };
 
 // A server's load report. Any subset may be present, noisy and some time old.
@@ -59,7 +59,7 @@
 };
 
 // What one proxy tells another of a server: the wait that somebody saw there, and how long ago.
-struct Hearsay {
+struct GossipEntry {
   ServerId server = 0;
   double wait_s = 0;
   double age_s = 0;
@@ -123,8 +123,8 @@
   double spent_s = 0;
   Outcome outcome = Outcome::kEnded;
   Cause cause = Cause::kNone;
-  double told_wait_s = 0;  // with kProcessorFull: come back after this; 0: not told
-  bool call_over = false;  // nothing more is owed for the call
+  double advised_wait_s = 0;  // with kProcessorFull: come back after this; 0: not told
+  bool call_ended = false;    // nothing more is owed for the call
   Report report;
 };
 
@@ -142,7 +142,7 @@
 };
 
 struct PeerNews {  // what a TellPeer of another proxy brought; may be lost, late or wrong
-  std::vector<Hearsay> hearsay;
+  std::vector<GossipEntry> entries;
 };
 
 using Event = std::variant<Started, ServerList, NewCall, SetupStood, AttemptEnded, CallAbandoned, TimerFired,
@@ -159,8 +159,7 @@
 struct RefuseCall {  // final: not served, the caller may come back
   CallId call = 0;
   double retry_after_s = 0;  // 0: no advice
-  bool as_answered =
-      false;  // what the last attempt met (kUnfit, kRejected) is the answer: no use coming back
+  bool permanent = false;  // what the last attempt met (kUnfit, kRejected) is the answer: no use coming back
 };
 
 struct FailCall {  // final: failed; used where a refusal is not allowed
@@ -181,7 +180,7 @@
 
 struct TellPeer {          // a message to another proxy, not sure to arrive
   std::uint32_t peer = 0;  // its number
-  std::vector<Hearsay> hearsay;
+  std::vector<GossipEntry> entries;
 };
 
 struct Log {
--- a/src/bench/wire.cpp
+++ b/src/bench/wire.cpp
@@ -83,8 +83,8 @@
   ended.outcome = read_outcome(in.u16());
   const std::uint32_t note = in.u32();
   ended.cause = read_cause(note);
-  if (ended.cause == Cause::kProcessorFull) ended.told_wait_s = static_cast<double>(note / 16) / 1000.0;
-  ended.call_over = in.boolean();
+  if (ended.cause == Cause::kProcessorFull) ended.advised_wait_s = static_cast<double>(note / 16) / 1000.0;
+  ended.call_ended = in.boolean();
   record.telemetry = read_telemetry(in);
   return record;
 }
@@ -273,7 +273,7 @@
                           body_.u8(1);
                         },
                         [&](const TellPeer& a) {
-                          const std::string bytes = pack_hearsay(a.hearsay);
+                          const std::string bytes = pack_hearsay(a.entries);
                           body_.u8(8);
                           body_.u32(a.peer);
                           body_.u16(static_cast<std::uint16_t>(bytes.size()));
--- a/src/edge/call_desk.cpp
+++ b/src/edge/call_desk.cpp
@@ -116,7 +116,7 @@
   event.spent_s = now - call.sent;
   event.outcome = outcome;
   event.cause = cause;
-  event.told_wait_s = told_wait_s;
+  event.advised_wait_s = told_wait_s;
   event.report = report;
   call.state = View::State::kDeciding;
   decide(now, event);
@@ -166,7 +166,7 @@
   event.server = call.server;
   event.spent_s = now - call.sent;
   event.outcome = Outcome::kEnded;
-  event.call_over = true;
+  event.call_ended = true;
   event.report = report;
   call.state = View::State::kDeciding;  // nothing is out that had to be released
   finish(id, {Verdict::Kind::kFailed, 0, call.server, kRanUnseen}, now);
@@ -196,7 +196,7 @@
   event.server = call.server;
   event.spent_s = now - call.sent;
   event.outcome = outcome;
-  event.call_over = true;
+  event.call_ended = true;
   event.report = report;
   counts_.cut += 1;
   ports_.cut(id);
@@ -238,7 +238,7 @@
     event.attempt = attempt;
     event.server = server;
     event.spent_s = spent;
-    event.call_over = true;
+    event.call_ended = true;
     decide(now, event);
   } else {
     decide(now, CallAbandoned{id});
@@ -270,7 +270,7 @@
 }
 
 void CallDesk::act(const RefuseCall& action, double now) {
-  if (action.as_answered) {
+  if (action.permanent) {
     const auto found = calls_.find(action.call);
     const ServerId server = found != calls_.end() ? found->second.server : 0;
     return finish(action.call, {Verdict::Kind::kRejected, 0, server, "rejected"}, now);
@@ -299,7 +299,7 @@
 }
 
 void CallDesk::act(const Subscribe&, double) { ports_.subscribe(); }
-void CallDesk::act(const TellPeer& action, double) { ports_.tell_peer(action.peer, action.hearsay); }
+void CallDesk::act(const TellPeer& action, double) { ports_.tell_peer(action.peer, action.entries); }
 void CallDesk::act(const Log& action, double) { ports_.log(action.text); }
 
 std::vector<CallDesk::View> CallDesk::calls() const {
--- a/src/edge/call_desk.hpp
+++ b/src/edge/call_desk.hpp
@@ -57,7 +57,7 @@
   virtual void release(CallId call, std::uint32_t attempt, ServerId server) = 0;
   virtual void forget(CallId call) = 0;  // nothing more comes for it
   virtual void subscribe() = 0;
-  virtual void tell_peer(std::uint32_t peer, const std::vector<Hearsay>& hearsay) = 0;
+  virtual void tell_peer(std::uint32_t peer, const std::vector<GossipEntry>& hearsay) = 0;
   virtual void log(const std::string& text) = 0;
 };
 
--- a/src/edge/config.cpp
+++ b/src/edge/config.cpp
@@ -38,14 +38,14 @@
   from.require("service_identifier");
   from.read("service_identifier", service, 0, 0xFFFFFFFFu);
   from.require("aim");
-  from.read_time("aim", each.aim_s, 0.001, kDay);
+  from.read_time("aim", each.target_s, 0.001, kDay);
   from.require("deadline");
   from.read_time("deadline", each.deadline_s, 0.001, kDay);
   from.read("value", each.value, 0, 1e9);
   from.read_choice("effect", {"repeatable", "by_key", "once"}, effect);
   each.effect = static_cast<Effect>(effect);
   from.read_numbers("nodes", each.nodes);
-  if (each.aim_s > each.deadline_s) from.fail("aim", "is longer than the deadline");
+  if (each.target_s > each.deadline_s) from.fail("aim", "is longer than the deadline");
   const auto place = static_cast<std::uint32_t>(out.settings.classes.size());
   names.push_back(name);
   if (!out.classes.by_service.emplace(service, place).second) {
@@ -145,7 +145,7 @@
     read_address(from, "listen", out.fleet.listen, false);
     if (s.own_number >= s.fleet_size) from.fail("own_number", "is not below the size");
     if (!peers.empty() && peers.size() != s.fleet_size) from.fail("peers", "are not as many as the size");
-    s.tells_peers = !peers.empty();
+    s.can_tell_peers = !peers.empty();
   });
   top.require("classes");
   std::vector<std::string> names;
@@ -159,7 +159,7 @@
   top.sections("realms", [&](config::Section& from) { read_realm(from, out); });
   top.section("rules", [&](config::Section& from) { read_rules(from, s); });
   s.gives_retry_after = s.max_retry_after_s > 0;
-  s.asks_for_list = true;
+  s.must_subscribe = true;
   top.section("limits", [&](config::Section& from) {
     from.read("calls", out.max_calls, 1, 10000000);
     from.read("message_bytes", out.max_message, 1024, 1u << 24);
@@ -206,8 +206,8 @@
   fixed("log.file", a.log.file == b.log.file);
   // The Controller is told its settings once, at start.
   const auto same_class = [](const Settings::Class& x, const Settings::Class& y) {
-    return x.aim_s == y.aim_s && x.deadline_s == y.deadline_s && x.value == y.value && x.effect == y.effect &&
-           x.nodes == y.nodes;
+    return x.target_s == y.target_s && x.deadline_s == y.deadline_s && x.value == y.value &&
+           x.effect == y.effect && x.nodes == y.nodes;
   };
   bool classes =
       a.settings.classes.size() == b.settings.classes.size() && a.classes.by_service == b.classes.by_service;
--- a/src/edge/edge.cpp
+++ b/src/edge/edge.cpp
@@ -140,7 +140,7 @@
              return Admin::Response{200, "text/plain; version=0.0.4", metrics_.text()};
            }},
           {"/calls", [this] { return calls(); }}});
-  if (config_.settings.tells_peers) {
+  if (config_.settings.can_tell_peers) {
     datagrams_ = std::make_unique<net::Datagrams>(
         loop_, config_.fleet.listen,
         [this](std::string_view bytes, net::Address from) { on_datagram(bytes, from); });
@@ -276,7 +276,7 @@
 
 void Edge::subscribe() { list_->open(); }
 
-void Edge::tell_peer(std::uint32_t peer, const std::vector<Hearsay>& hearsay) {
+void Edge::tell_peer(std::uint32_t peer, const std::vector<GossipEntry>& hearsay) {
   if (!datagrams_ || peer >= config_.fleet.peers.size()) return;
   datagrams_->send(hearsay_out_.pack(hearsay, [this](ServerId id) { return identity_of(id); }),
                    config_.fleet.peers[peer]);
--- a/src/edge/edge.hpp
+++ b/src/edge/edge.hpp
@@ -59,7 +59,7 @@
   void release(CallId call, std::uint32_t attempt, ServerId server) override;
   void forget(CallId call) override;
   void subscribe() override;
-  void tell_peer(std::uint32_t peer, const std::vector<Hearsay>& hearsay) override;
+  void tell_peer(std::uint32_t peer, const std::vector<GossipEntry>& hearsay) override;
   void log(const std::string& text) override;
   // CorePorts
   void core_stood(CallId call, std::uint32_t attempt, const CoreAnswer& answer) override;
--- a/src/fleet/hearsay.cpp
+++ b/src/fleet/hearsay.cpp
@@ -17,14 +17,14 @@
 
 }  // namespace
 
-std::string Writer::pack(const std::vector<Hearsay>& hearsay,
+std::string Writer::pack(const std::vector<GossipEntry>& hearsay,
                          const std::function<std::string(ServerId)>& identity) {
   v1::News news;
   news.set_version(kVersion);
   news.set_sender(own_);
   news.set_boot(boot_);
   news.set_sequence(++sequence_);
-  for (const Hearsay& each : hearsay) {
+  for (const GossipEntry& each : hearsay) {
     const std::string name = identity(each.server);
     if (name.empty() || static_cast<std::size_t>(news.hearsay_size()) == kMostHearsay) continue;
     v1::Hearsay& out = *news.add_hearsay();
@@ -70,7 +70,7 @@
   for (const v1::Hearsay& each : news.hearsay()) {
     const ServerId server = number(each.server());
     if (server == 0 || each.wait_ms() > kLongestMs || each.age_ms() > kLongestMs) continue;
-    out.hearsay.push_back({server, each.wait_ms() / 1000.0, each.age_ms() / 1000.0});
+    out.entries.push_back({server, each.wait_ms() / 1000.0, each.age_ms() / 1000.0});
   }
   return out;
 }
--- a/src/fleet/hearsay.hpp
+++ b/src/fleet/hearsay.hpp
@@ -25,7 +25,8 @@
  public:
   Writer(std::uint32_t own_number, std::uint64_t boot) : own_(own_number), boot_(boot) {}
   // `identity` names a server; those without a name, and what does not fit, are left out.
-  std::string pack(const std::vector<Hearsay>& hearsay, const std::function<std::string(ServerId)>& identity);
+  std::string pack(const std::vector<GossipEntry>& hearsay,
+                   const std::function<std::string(ServerId)>& identity);
 
  private:
   std::uint32_t own_;
--- a/src/instance/hearsay.cpp
+++ b/src/instance/hearsay.cpp
@@ -15,7 +15,7 @@
 
 }  // namespace
 
-std::string pack_hearsay(const std::vector<Hearsay>& hearsay) {
+std::string pack_hearsay(const std::vector<GossipEntry>& hearsay) {
   const auto milliseconds = [](double seconds) {
     return static_cast<std::uint16_t>(
         std::clamp(std::isfinite(seconds) ? seconds * 1000 : 65535, 0.0, 65535.0));
@@ -32,15 +32,15 @@
   return out.str();
 }
 
-std::vector<Hearsay> unpack_hearsay(std::string_view bytes) {
-  std::vector<Hearsay> hearsay;
+std::vector<GossipEntry> unpack_hearsay(std::string_view bytes) {
+  std::vector<GossipEntry> hearsay;
   if (bytes.size() < 2) return hearsay;
   Reader in(bytes);
   const bool known = in.u8() == kHearsayVersion;
   const std::size_t count = in.u8();
   if (!known || count > kMostHearsay || in.left() != count * kHearsaySize) return hearsay;
   while (!in.done()) {
-    Hearsay entry;
+    GossipEntry entry;
     entry.server = read_server(in);
     entry.wait_s = in.u16() / 1000.0;
     entry.age_s = in.u16() / 1000.0;
--- a/src/instance/hearsay.hpp
+++ b/src/instance/hearsay.hpp
@@ -11,8 +11,8 @@
 
 namespace mintrock::instance {
 
-std::string pack_hearsay(const std::vector<Hearsay>& hearsay);
-std::vector<Hearsay> unpack_hearsay(std::string_view bytes);
+std::string pack_hearsay(const std::vector<GossipEntry>& hearsay);
+std::vector<GossipEntry> unpack_hearsay(std::string_view bytes);
 
 }  // namespace mintrock::instance
 
--- a/src/instance/settings.cpp
+++ b/src/instance/settings.cpp
@@ -69,7 +69,7 @@
 
 void read_class(const Pairs& pairs, std::size_t index, Settings::Class& out) {
   const std::string base = "classes." + std::to_string(index) + ".";
-  pairs.read(base + "goal_time_s", out.aim_s);
+  pairs.read(base + "goal_time_s", out.target_s);
   pairs.read(base + "deadline_s", out.deadline_s);
   pairs.read(base + "value", out.value);
   if (const std::string* effect = pairs.find(base + "effect")) {
@@ -109,13 +109,13 @@
   pairs.read("rules.fall_s", s.fall_s);
   pairs.read("fleet_size", s.fleet_size);
   pairs.read("me", s.own_number);
-  pairs.read("limits.peers", s.tells_peers);
+  pairs.read("limits.peers", s.can_tell_peers);
   pairs.read("callers.marks_retry", s.marks_redials);
   pairs.read("limits.try_limit", s.attempt_limit);
   pairs.read("limits.max_retry_after_s", s.max_retry_after_s);
   pairs.read("limits.cancelling", s.can_cancel);
   pairs.read("limits.retry_after", s.gives_retry_after);
-  if (const std::string* mode = pairs.find("registry_mode")) s.asks_for_list = *mode == "ask";
+  if (const std::string* mode = pairs.find("registry_mode")) s.must_subscribe = *mode == "ask";
   if (const std::string* fields = pairs.find("load_info.fields")) {
     for (const std::string& name : Pairs::split(*fields)) out.fields.push_back(field_named(name));
   }
--- a/src/lab/checker.cpp
+++ b/src/lab/checker.cpp
@@ -379,7 +379,8 @@
         counts.stood += 1;
         counts.cut += each.cut < kNever;
         delays.push_back(each.answered - each.sent);
-        if (each.cut == kNever && each.answered - wish.first <= known->second->told.aim_s) wish.served = true;
+        if (each.cut == kNever && each.answered - wish.first <= known->second->told.target_s)
+          wish.served = true;
       } else if (each.result == diameter::kTooBusy) {
         counts.refused += 1;
       } else {
@@ -473,7 +474,7 @@
         const auto known = classes.find(each.service);
         auto& [first, served] = wishes.at(wish_of(session));
         served |= known != classes.end() && each.cut == kNever &&
-                  each.answered - first <= known->second->told.aim_s;
+                  each.answered - first <= known->second->told.target_s;
       } else {
         (each.result == diameter::kTooBusy ? s.refused : s.failed) += 1;
       }
--- a/src/lab/run.cpp
+++ b/src/lab/run.cpp
@@ -56,7 +56,7 @@
   static const char* const kEffects[] = {"repeatable", "by_key", "once"};
   for (const auto& each : s.classes) {
     out += "  - {name: " + each.name + ", service_identifier: " + std::to_string(each.service_identifier) +
-           ", aim: " + yaml_time(each.told.aim_s) + ", deadline: " + yaml_time(each.told.deadline_s) +
+           ", aim: " + yaml_time(each.told.target_s) + ", deadline: " + yaml_time(each.told.deadline_s) +
            ", value: " + std::to_string(each.told.value) +
            ", effect: " + kEffects[static_cast<int>(each.told.effect)] + "}\n";
   }
--- a/src/lab/scenario.cpp
+++ b/src/lab/scenario.cpp
@@ -80,7 +80,7 @@
   from.read("share", each.share, 0, 1e6);
   from.read_time("hold", each.hold_s, 0.001, kDay);
   from.require("aim");
-  from.read_time("aim", each.told.aim_s, 0.001, kDay);
+  from.read_time("aim", each.told.target_s, 0.001, kDay);
   from.require("deadline");
   from.read_time("deadline", each.told.deadline_s, 0.001, kDay);
   from.read("value", each.told.value, 0, 1e9);
--- a/src/platform/platform_edge.cpp
+++ b/src/platform/platform_edge.cpp
@@ -85,7 +85,7 @@
   for (const TopologyEvent& event : config_.known) take_news(event);
   config_.known.clear();
   open_bus();
-  if (config_.has_peers && config_.instance.settings.tells_peers) {
+  if (config_.has_peers && config_.instance.settings.can_tell_peers) {
     datagrams_ = std::make_unique<net::Datagrams>(
         loop_, config_.peer_listen,
         [this](std::string_view bytes, net::Address from) { on_datagram(bytes, from); });
@@ -189,10 +189,10 @@
   calls_.erase(found);
 }
 
-void PlatformEdge::tell_peer(std::uint32_t peer, const std::vector<Hearsay>& hearsay) {
+void PlatformEdge::tell_peer(std::uint32_t peer, const std::vector<GossipEntry>& hearsay) {
   if (!datagrams_ || peer >= config_.peers.size()) return;
-  std::vector<Hearsay> common;
-  for (const Hearsay& each : hearsay) {
+  std::vector<GossipEntry> common;
+  for (const GossipEntry& each : hearsay) {
     const auto core = cores_.find(each.server);
     if (core == cores_.end()) continue;
     common.push_back({common_number(core->second.identity), each.wait_s, each.age_s});
@@ -656,12 +656,12 @@
 void PlatformEdge::on_datagram(std::string_view bytes, net::Address from) {
   if (std::find(config_.peers.begin(), config_.peers.end(), from) == config_.peers.end()) return;
   PeerNews news;
-  for (const Hearsay& each : instance::unpack_hearsay(bytes)) {
+  for (const GossipEntry& each : instance::unpack_hearsay(bytes)) {
     for (const auto& [id, core] : cores_) {
-      if (common_number(core.identity) == each.server) news.hearsay.push_back({id, each.wait_s, each.age_s});
+      if (common_number(core.identity) == each.server) news.entries.push_back({id, each.wait_s, each.age_s});
     }
   }
-  if (news.hearsay.empty()) return;
+  if (news.entries.empty()) return;
   desk_.peer_news(news, loop_.now());
   watch();
 }
--- a/src/platform/platform_edge.hpp
+++ b/src/platform/platform_edge.hpp
@@ -74,7 +74,7 @@
   void release(CallId call, std::uint32_t attempt, ServerId server) override;
   void forget(CallId call) override;
   void subscribe() override {}  // the event bus is read from the start
-  void tell_peer(std::uint32_t peer, const std::vector<Hearsay>& hearsay) override;
+  void tell_peer(std::uint32_t peer, const std::vector<GossipEntry>& hearsay) override;
   void log(const std::string& text) override;
 
   // ---- CallerPorts ----
--- a/src/rules.cpp
+++ b/src/rules.cpp
@@ -223,7 +223,7 @@
   Impl(const Settings& settings, std::uint64_t seed) : settings_(settings), random_(seed) {
     for (const Settings::Class& c : settings_.classes) {
       best_worth_ = std::max(best_worth_, c.value);
-      longest_aim_ = std::max(longest_aim_, c.aim_s);
+      longest_aim_ = std::max(longest_aim_, c.target_s);
       longest_deadline_ = std::max(longest_deadline_, c.deadline_s);
     }
   }
@@ -238,8 +238,9 @@
   // ---- A call comes in ----
 
   void on(const Started&) {
-    if (settings_.asks_for_list) emit(Subscribe{});
-    if (settings_.tells_peers && settings_.fleet_size > 1) emit(SetTimer{kTellTimer, kTellEvery * uniform()});
+    if (settings_.must_subscribe) emit(Subscribe{});
+    if (settings_.can_tell_peers && settings_.fleet_size > 1)
+      emit(SetTimer{kTellTimer, kTellEvery * uniform()});
   }
 
   void on(const NewCall& e) {
@@ -251,7 +252,7 @@
     call.lines = usable(e.lines) ? e.lines : 1;
     call.first_choice = e.first_choice;
     call.first_try = first_try(e);
-    call.aim_end = call.first_try + class_of(call).aim_s;
+    call.aim_end = call.first_try + class_of(call).target_s;
     call.end = now_ + (usable(e.ttl_s) ? e.ttl_s : 0) - kEndMargin;
     call.worth = worth_of(call, e);
     if (number_busy(call.key)) return refuse(call);
@@ -412,7 +413,7 @@
   double sparseness() const { return std::clamp((settings_.fleet_size - kFew) / (kMany - kFew), 0.0, 1.0); }
 
   double room_limit(const Call& call) const {
-    double limit = kRoomAim * class_of(call).aim_s;
+    double limit = kRoomAim * class_of(call).target_s;
     if (settings_.repeat_after_s > 0) limit = std::min(limit, kRoomRepeat * settings_.repeat_after_s);
     limit *= 1 + kOddsWidest * sparseness() * (2 * call.patience - 1);
     limit = std::max(limit * call.worth, std::min(limit, kRoomFloor * shortest_));
@@ -484,7 +485,7 @@
   // ---- Holding: DSRT ----
 
   void hold_or_refuse(Call& call) {
-    const double longest = std::min(class_of(call).aim_s, call.end - now_) - std::max(0.0, spacing_);
+    const double longest = std::min(class_of(call).target_s, call.end - now_) - std::max(0.0, spacing_);
     if (longest <= 0) return refuse(call);
     const double known = spacing_ < 0 ? kSpacingFirst : spacing_;
     const double x = std::clamp(known, std::min(kSpacingLeast, longest), longest);
@@ -606,7 +607,7 @@
     const Time sent = call->sent;
     answered(*call);
     if (server != nullptr) judge(*server, e, stood, sent);
-    if (e.call_over || stood) {
+    if (e.call_ended || stood) {
       if (!stood) note_missed(*call);
       forget(*call);
       return;
@@ -722,7 +723,7 @@
         if (e.cause == Cause::kNoLine) {
           server.no_line_until = now_ + std::max(spacing_, kMarkLeast);
         } else {
-          const double told = usable(e.told_wait_s) ? e.told_wait_s : 0;
+          const double told = usable(e.advised_wait_s) ? e.advised_wait_s : 0;
           const double mark = told > 0 ? told : std::max(spacing_, kMarkLeast);
           server.marked_until = std::max(server.marked_until, now_ + mark);
           server.slow_delay = std::max(server.slow_delay, now_ - sent);
@@ -841,15 +842,15 @@
 
   // ---- Ending: one place ----
 
-  void refuse(Call& call, bool as_answered = false) {
-    if (!as_answered) note_missed(call);
+  void refuse(Call& call, bool permanent = false) {
+    if (!permanent) note_missed(call);
     const bool may_refuse = !call.in_doubt || class_of(call).effect == Effect::kRepeatable;
     if (may_refuse) {
       // Advice is owed before anything stood, too.
       const double spacing = spacing_ < 0 ? kMarkLeast : spacing_;
       const double pause = std::max(spacing, held_ > 0 ? last_due_ - now_ : 0);
       const double advice = settings_.gives_retry_after ? std::min(pause, settings_.max_retry_after_s) : 0;
-      emit(RefuseCall{call.id, as_answered ? 0 : std::max(0.0, advice), as_answered});
+      emit(RefuseCall{call.id, permanent ? 0 : std::max(0.0, advice), permanent});
     } else {
       emit(FailCall{call.id});
     }
@@ -921,7 +922,7 @@
   void tell_peers() {
     emit(SetTimer{kTellTimer, kTellEvery * (0.5 + uniform())});
     if (sparseness() == 0) return;  // own evidence is better
-    std::vector<Hearsay> hearsay;
+    std::vector<GossipEntry> hearsay;
     for (const auto& [id, server] : servers_) {
       const auto [wait, at] = newest_wait(server);
       if (server.listed && at > -kNever) hearsay.push_back({id, wait, now_ - at});
@@ -936,7 +937,7 @@
 
   void on(const PeerNews& e) {
     if (sparseness() == 0) return;
-    for (const Hearsay& h : e.hearsay) {
+    for (const GossipEntry& h : e.entries) {
       Server* server = find(h.server);
       if (server == nullptr || !usable(h.wait_s) || !usable(h.age_s)) continue;
       if (now_ - h.age_s <= server->heard_at) continue;
--- a/tests/bench/wire_test.cpp
+++ b/tests/bench/wire_test.cpp
@@ -139,7 +139,7 @@
   const InstanceSettings parsed = parse_settings(kSettings);
   const Settings& s = parsed.settings;
   ASSERT_EQ(s.classes.size(), 1u);
-  EXPECT_EQ(s.classes[0].aim_s, 1.5);
+  EXPECT_EQ(s.classes[0].target_s, 1.5);
   EXPECT_EQ(s.classes[0].value, 2);
   EXPECT_EQ(s.classes[0].nodes, (std::vector<std::uint32_t>{0, 3}));
   EXPECT_EQ(s.release_wait_s, 0.5);
@@ -156,7 +156,7 @@
       "classes.0.deadline_s=9.0\nload_info.fields=spare,total,load_share,depth\n");
   EXPECT_EQ(parsed.settings.fleet_size, 265u);
   EXPECT_EQ(parsed.settings.own_number, 3u);
-  EXPECT_TRUE(parsed.settings.tells_peers);
+  EXPECT_TRUE(parsed.settings.can_tell_peers);
   EXPECT_TRUE(parsed.settings.marks_redials);
   EXPECT_EQ(parsed.settings.classes.at(0).deadline_s, 9.0);
   const Report report = make_report(parsed.fields, {12, 100, 0.5F, 7});
@@ -170,13 +170,13 @@
   const std::string bytes =
       pack_hearsay({{0x0a124a07138b, 0.25, 1.5}, {7, 1e9, std::numeric_limits<double>::quiet_NaN()}});
   ASSERT_EQ(bytes.size(), 22u);
-  const std::vector<Hearsay> back = unpack_hearsay(bytes);
+  const std::vector<GossipEntry> back = unpack_hearsay(bytes);
   ASSERT_EQ(back.size(), 2u);
   EXPECT_EQ(back[0].server, 0x0a124a07138bu);
   EXPECT_DOUBLE_EQ(back[0].wait_s, 0.25);
   EXPECT_DOUBLE_EQ(back[0].age_s, 1.5);
   EXPECT_DOUBLE_EQ(back[1].wait_s, 65.535) << "capped";
-  EXPECT_LE(pack_hearsay(std::vector<Hearsay>(1000)).size(), 256u);
+  EXPECT_LE(pack_hearsay(std::vector<GossipEntry>(1000)).size(), 256u);
 }
 
 TEST(Wire, HearsayOfAnotherVersionOrLengthSaysNothing) {
@@ -223,7 +223,7 @@
   const Finished& end = std::get<Finished>(records[4]);
   EXPECT_EQ(end.ended.outcome, Outcome::kFull);
   EXPECT_EQ(end.ended.cause, Cause::kProcessorFull);
-  EXPECT_EQ(end.ended.told_wait_s, 0.25);
+  EXPECT_EQ(end.ended.advised_wait_s, 0.25);
   const Report report = make_report({Field::kSpare, Field::kUnknown, Field::kWaitMs}, end.telemetry);
   EXPECT_EQ(report.spare, 3);
   EXPECT_EQ(report.wait_s, 0.12);
--- a/tests/controller_test.cpp
+++ b/tests/controller_test.cpp
@@ -720,7 +720,7 @@
 
 const RefuseCall* rejected(const std::vector<Action>& actions) {
   for (const Action& a : actions) {
-    if (const auto* r = std::get_if<RefuseCall>(&a)) return r->as_answered ? r : nullptr;
+    if (const auto* r = std::get_if<RefuseCall>(&a)) return r->permanent ? r : nullptr;
   }
   return nullptr;
 }
@@ -966,8 +966,8 @@
   }
 }
 
-// Hearsay only adds evidence of waits: it closes a server to a sender that has seen nothing itself, ages out,
-// and absurd or unknown entries do nothing.
+// Gossip only adds evidence of waits: it closes a server to a sender that has seen nothing itself, ages
+// out, and absurd or unknown entries do nothing.
 TEST(Fleet, HearsayOfAWaitClosesAServerForAWhile) {
   Settings s = usual();
   s.fleet_size = 100;
@@ -987,7 +987,7 @@
     Settings s = usual();
     s.fleet_size = 60;
     s.own_number = 1;
-    s.tells_peers = allowed;
+    s.can_tell_peers = allowed;
     Bench b(s);
     b.servers(2);
     b.call(1, 0);
@@ -1336,7 +1336,7 @@
 
 TEST(Sites, AListThatMustBeAskedForIsAskedForAgain) {
   Settings s = usual();
-  s.asks_for_list = true;
+  s.must_subscribe = true;
   Bench b(s);
   ASSERT_EQ(b.log.size(), 1u);
   EXPECT_TRUE(std::holds_alternative<Subscribe>(b.log[0]));
--- a/tests/edge/call_desk_test.cpp
+++ b/tests/edge/call_desk_test.cpp
@@ -31,20 +31,20 @@
   }
   void forget(CallId call) override { forgotten.insert(call); }
   void subscribe() override { subscribed += 1; }
-  void tell_peer(std::uint32_t, const std::vector<Hearsay>&) override {}
+  void tell_peer(std::uint32_t, const std::vector<GossipEntry>&) override {}
   void log(const std::string&) override {}
 
   World(std::uint32_t max_calls = 1000, Effect effect = Effect::kRepeatable) {
     Settings settings;
     settings.classes.resize(1);
-    settings.classes[0].aim_s = 1;
+    settings.classes[0].target_s = 1;
     settings.classes[0].deadline_s = 9;
     settings.classes[0].effect = effect;
     settings.attempt_limit = 4;
     settings.release_wait_s = 0.5;
     settings.max_retry_after_s = 2;
     settings.gives_retry_after = true;
-    settings.asks_for_list = true;
+    settings.must_subscribe = true;
     desk = std::make_unique<CallDesk>(settings, 1, max_calls, *this);
     desk->start(0);
   }
--- a/tests/edge/config_test.cpp
+++ b/tests/edge/config_test.cpp
@@ -49,7 +49,7 @@
       with("rules: {release_wait: 500ms, overload_factor: 3}\nfleet: {size: 2, own_number: 1}\n"));
   const Config config = load_config(file.path);
   EXPECT_EQ(config.settings.classes.size(), 2u);
-  EXPECT_EQ(config.settings.classes[0].aim_s, 1.2);
+  EXPECT_EQ(config.settings.classes[0].target_s, 1.2);
   EXPECT_EQ(config.settings.classes[1].effect, Effect::kOnce);
   EXPECT_EQ(config.classes.by_service.at(7), 1u);
   EXPECT_EQ(config.settings.release_wait_s, 0.5);
@@ -111,7 +111,7 @@
   after.callers.peers = {"x"};
   after.log.level = "debug";
   EXPECT_TRUE(needs_restart(before, after).empty());
-  after.settings.classes[0].aim_s = 3;
+  after.settings.classes[0].target_s = 3;
   after.settings.release_wait_s = 7;
   after.node.listen.port = 1;
   EXPECT_EQ(needs_restart(before, after), (std::vector<std::string>{"node", "classes", "rules"}));
--- a/tests/edge/edge_test.cpp
+++ b/tests/edge/edge_test.cpp
@@ -220,14 +220,14 @@
     config.list.server = list->local();
     config.core.reconnect_s = 0.05;
     config.settings.classes.resize(1);
-    config.settings.classes[0].aim_s = 2;
+    config.settings.classes[0].target_s = 2;
     config.settings.classes[0].deadline_s = 9;
     config.classes.by_service[1] = 0;
     config.settings.attempt_limit = 4;
     config.settings.release_wait_s = 0.05;
     config.settings.max_retry_after_s = 2;
     config.settings.gives_retry_after = true;
-    config.settings.asks_for_list = true;
+    config.settings.must_subscribe = true;
     config.seed = 1;
     if (change) change(config);
     last_config = config;
--- a/tests/fleet/cold_test.cpp
+++ b/tests/fleet/cold_test.cpp
@@ -162,7 +162,7 @@
       end.call = send.call;
       end.attempt = attempt;
       end.server = send.server;
-      end.call_over = true;
+      end.call_ended = true;
       handle(i, end);
       proxies_[i].attempts.erase(send.call);
     });
--- a/tests/fleet/hearsay_test.cpp
+++ b/tests/fleet/hearsay_test.cpp
@@ -17,10 +17,10 @@
   const auto news =
       reader.read(writer.pack({{1, 0.25, 1.5}, {9, 1, 1}, {3, 1, 1}}, identity), 1, number, why);
   ASSERT_TRUE(news) << why;
-  ASSERT_EQ(news->hearsay.size(), 1u) << "servers without a name there, or a number here, are left out";
-  EXPECT_EQ(news->hearsay[0].server, 11u);
-  EXPECT_EQ(news->hearsay[0].wait_s, 0.25);
-  EXPECT_EQ(news->hearsay[0].age_s, 1.5);
+  ASSERT_EQ(news->entries.size(), 1u) << "servers without a name there, or a number here, are left out";
+  EXPECT_EQ(news->entries[0].server, 11u);
+  EXPECT_EQ(news->entries[0].wait_s, 0.25);
+  EXPECT_EQ(news->entries[0].age_s, 1.5);
 }
 
 TEST(Hearsay, DoubledOvertakenForgedAndBrokenMessagesAreDropped) {
@@ -45,7 +45,7 @@
 
 TEST(Hearsay, IsBoundedAndNeverNonsense) {
   Writer writer(1, 1);
-  std::vector<Hearsay> many;
+  std::vector<GossipEntry> many;
   for (ServerId i = 100; i < 1000; ++i) many.push_back({i, std::numeric_limits<double>::infinity(), -5});
   const std::string bytes =
       writer.pack(many, [](ServerId id) { return std::string(100, 'x') + std::to_string(id); });
@@ -55,7 +55,7 @@
   const auto news = reader.read(
       bytes, 1, [](const std::string&) { return ServerId{1}; }, why);
   ASSERT_TRUE(news);
-  for (const auto& each : news->hearsay) {
+  for (const auto& each : news->entries) {
     EXPECT_LE(each.wait_s, 3600);
     EXPECT_EQ(each.age_s, 0);
   }
--- a/tests/platform/config_test.cpp
+++ b/tests/platform/config_test.cpp
@@ -48,7 +48,7 @@
   ASSERT_EQ(config.peers.size(), 2u);
   const Settings& s = config.instance.settings;
   ASSERT_EQ(s.classes.size(), 2u);
-  EXPECT_DOUBLE_EQ(s.classes[0].aim_s, 0.42);
+  EXPECT_DOUBLE_EQ(s.classes[0].target_s, 0.42);
   EXPECT_EQ(s.classes[1].effect, Effect::kOnce);
   EXPECT_EQ(s.classes[0].nodes, (std::vector<std::uint32_t>{0, 1}));
   EXPECT_EQ(s.classes[1].nodes, (std::vector<std::uint32_t>{1}));
@@ -56,8 +56,8 @@
   EXPECT_DOUBLE_EQ(s.repeat_after_s, 0.171129);
   EXPECT_EQ(s.attempt_limit, 4u);
   EXPECT_EQ(s.own_number, 1u);
-  EXPECT_TRUE(s.marks_redials && s.can_cancel && s.gives_retry_after && s.tells_peers);
-  EXPECT_FALSE(s.asks_for_list);
+  EXPECT_TRUE(s.marks_redials && s.can_cancel && s.gives_retry_after && s.can_tell_peers);
+  EXPECT_FALSE(s.must_subscribe);
 }
 
 // The simulator's text and the platform's JSON are the same settings: every key that either route reads.
--- a/tests/platform/platform_edge_test.cpp
+++ b/tests/platform/platform_edge_test.cpp
@@ -438,7 +438,7 @@
   caller.setup(7);
   ASSERT_TRUE(stage.until([&] { return caller.count(9) == 1 && !heard.empty(); }));
   EXPECT_LE(heard[0].size(), 256u);
-  std::vector<Hearsay> hearsay = instance::unpack_hearsay(heard[0]);
+  std::vector<GossipEntry> hearsay = instance::unpack_hearsay(heard[0]);
   ASSERT_EQ(hearsay.size(), 1u);
   hearsay[0].wait_s = 30;  // of that server, just now
   hearsay[0].age_s = 0;
--- a/tests/usual_settings.hpp
+++ b/tests/usual_settings.hpp
@@ -9,8 +9,8 @@
 inline Settings usual() {
   Settings s;
   s.classes.resize(2);
-  s.classes[0].aim_s = 1.2;
-  s.classes[1].aim_s = 1.5;
+  s.classes[0].target_s = 1.2;
+  s.classes[1].target_s = 1.5;
   s.classes[1].value = 4;
   for (Settings::Class& c : s.classes) c.deadline_s = 9;
   s.release_wait_s = 0.5;
