--- a/src/bench/drill.cpp
+++ b/src/bench/drill.cpp
@@ -1,5 +1,5 @@
-// mintrock_drill: hosts many Controllers, one for each instance, on the simulator's wire. Nothing is decided
-// here.
+// mintrock_drill: runs many Controllers, one per instance, behind the simulator's wire protocol on standard
+// input and output. It makes no decisions of its own.
 #include <algorithm>
 #include <cstdio>
 #include <exception>
@@ -11,8 +11,8 @@
 #include <variant>
 #include <vector>
 
-#include "mintrock/controller.hpp"
 #include "bench/wire.hpp"
+#include "mintrock/controller.hpp"
 
 namespace {
 
@@ -27,14 +27,14 @@
   std::vector<wire::Field> fields;
 };
 
-class Drill {
+class InstanceHost {
  public:
-  std::string answer(const wire::Header& header, std::string_view body) {
+  std::string process_batch(const wire::Header& header, std::string_view body) {
     actions_.clear();
     now_ = header.now;
     current_ = -1;
     for (const wire::Record& record : wire::parse_batch(body)) {
-      std::visit([this](const auto& r) { take(r); }, record);
+      std::visit([this](const auto& r) { apply(r); }, record);
     }
     wire::Reply reply;
     for (const auto& [instance, actions] : actions_) reply.add(instance, actions);
@@ -42,61 +42,62 @@
   }
 
  private:
-  std::uint16_t number() const {
+  std::uint16_t current_number() const {
     if (current_ < 0) throw wire::WireError("an event before any FOR record");
     return static_cast<std::uint16_t>(current_);
   }
   Instance& instance() {
-    const auto found = instances_.find(number());
+    const auto found = instances_.find(current_number());
     if (found == instances_.end()) throw wire::WireError("an event for an instance that is not running");
     return found->second;
   }
-  void pass(const Event& event) { instance().controller->handle(now_, event, actions_[number()]); }
+  void deliver(const Event& event) { instance().controller->handle(now_, event, actions_[current_number()]); }
 
-  void take(const wire::ForInstance& r) { current_ = r.instance; }
-  void take(const wire::PowerOn& r) {
+  void apply(const wire::ForInstance& r) { current_ = r.instance; }
+  void apply(const wire::PowerOn& r) {
     wire::InstanceSettings parsed = wire::parse_settings(r.settings);
-    instances_[number()] = {std::make_unique<Controller>(parsed.settings, r.seed), std::move(parsed.fields)};
-    pass(mintrock::Started{});
+    instances_[current_number()] = {std::make_unique<Controller>(parsed.settings, r.seed),
+                                    std::move(parsed.fields)};
+    deliver(mintrock::Started{});
   }
-  // What the life that ends here wanted in this batch goes with it.
-  void take(const wire::Halt&) {
-    instances_.erase(number());
-    actions_.erase(number());
+  // Also drops the actions that the halted instance requested earlier in this batch.
+  void apply(const wire::Halt&) {
+    instances_.erase(current_number());
+    actions_.erase(current_number());
   }
-  void take(const wire::Rows& r) { lists_[r.buffer] = r.entries; }
-  void take(const wire::Topology& r) {
+  void apply(const wire::ServerRows& r) { lists_[r.buffer] = r.entries; }
+  void apply(const wire::Topology& r) {
     mintrock::ServerList list;
     list.mode = r.mode;
     if (r.mode != mintrock::ServerList::Mode::kFailed) {
       const auto found = lists_.find(r.buffer);
-      if (found == lists_.end()) throw wire::WireError("a list number that was never sent");
+      if (found == lists_.end()) throw wire::WireError("TOPOLOGY names a list buffer that was never sent");
       list.entries = found->second;
     }
-    pass(list);
+    deliver(list);
   }
-  void take(const wire::Finished& r) {
+  void apply(const wire::Finished& r) {
     mintrock::AttemptEnded ended = r.ended;
     ended.report = wire::make_report(instance().fields, r.telemetry);
-    pass(ended);
+    deliver(ended);
   }
-  void take(const wire::ProbeDone& r) {
-    pass(mintrock::LoadNotice{r.server, wire::make_report(instance().fields, r.telemetry)});
+  void apply(const wire::ProbeDone& r) {
+    deliver(mintrock::LoadNotice{r.server, wire::make_report(instance().fields, r.telemetry)});
   }
-  void take(const wire::Mail& r) { pass(r.news); }
-  void take(const mintrock::NewCall& r) { pass(r); }
-  void take(const mintrock::SetupStood& r) { pass(r); }
-  void take(const mintrock::CallAbandoned& r) { pass(r); }
-  void take(const mintrock::TimerFired& r) { pass(r); }
+  void apply(const wire::PeerMessage& r) { deliver(r.news); }
+  void apply(const mintrock::NewCall& r) { deliver(r); }
+  void apply(const mintrock::SetupStood& r) { deliver(r); }
+  void apply(const mintrock::CallAbandoned& r) { deliver(r); }
+  void apply(const mintrock::TimerFired& r) { deliver(r); }
 
   std::map<std::uint16_t, Instance> instances_;
   std::map<std::uint8_t, std::vector<mintrock::ServerEntry>> lists_;
-  std::map<std::uint16_t, std::vector<Action>> actions_;  // of this batch, by instance
+  std::map<std::uint16_t, std::vector<Action>> actions_;  // of the current batch, by instance
   Time now_ = 0;
   int current_ = -1;
 };
 
-// False at a clean end of input; an end inside a frame throws.
+// Returns false at the end of the input if may_end is set; an end within a frame throws.
 bool read_exactly(std::string& buffer, std::size_t size, bool may_end) {
   buffer.resize(size);
   const std::size_t got = std::fread(buffer.data(), 1, size, stdin);
@@ -105,14 +106,14 @@
   return true;
 }
 
-// Reads in pieces, so that a nonsense length fails at the end of input and not for want of memory.
+// Reads in chunks, so that a wrong length fails at the end of the input instead of allocating all memory.
 void read_body(std::string& body, std::size_t size) {
-  constexpr std::size_t kPiece = 1 << 20;
+  constexpr std::size_t kChunkSize = 1 << 20;
   body.clear();
-  std::string piece;
+  std::string chunk;
   while (body.size() < size) {
-    read_exactly(piece, std::min(kPiece, size - body.size()), false);
-    body += piece;
+    read_exactly(chunk, std::min(kChunkSize, size - body.size()), false);
+    body += chunk;
   }
 }
 
@@ -120,15 +121,15 @@
 
 int main() {
   try {
-    Drill drill;
+    InstanceHost host;
     std::string header;
     std::string body;
     while (read_exactly(header, wire::kHeaderSize, true)) {
       const wire::Header parsed = wire::parse_header(header);
       read_body(body, parsed.length);
-      const std::string reply = drill.answer(parsed, body);
+      const std::string reply = host.process_batch(parsed, body);
       if (std::fwrite(reply.data(), 1, reply.size(), stdout) != reply.size() || std::fflush(stdout) != 0) {
-        throw wire::WireError("the reply could not be written");
+        throw wire::WireError("cannot write the reply");
       }
     }
     return 0;
--- a/src/bench/wire.cpp
+++ b/src/bench/wire.cpp
@@ -12,7 +12,7 @@
 using instance::write_server;
 
 constexpr std::size_t kEntrySize = 25;
-constexpr std::size_t kMaxNote = 65535;  // bytes of a log line
+constexpr std::size_t kMaxLogText = 65535;  // bytes
 
 constexpr std::uint16_t kRedialled = 2;
 constexpr std::uint16_t kWasCut = 16;
@@ -30,8 +30,8 @@
   return values;
 }
 
-double finite_seconds(double value, const char* what) {
-  if (!std::isfinite(value)) throw WireError(std::string("not a finite number: ") + what);
+double check_finite(double value, const char* name) {
+  if (!std::isfinite(value)) throw WireError(std::string("not a finite number: ") + name);
   return value;
 }
 
@@ -79,7 +79,7 @@
   ended.call = in.u32();
   ended.server = read_server(in);
   ended.attempt = in.u16();
-  ended.spent_s = finite_seconds(in.f64(), "spent_s");
+  ended.spent_s = check_finite(in.f64(), "spent_s");
   ended.outcome = read_outcome(in.u16());
   const std::uint32_t note = in.u32();
   ended.cause = read_cause(note);
@@ -94,13 +94,13 @@
   call.call = in.u32();
   call.key = in.u64();
   call.call_class = in.u8();
-  in.f64();  // a guess of the work: not used
-  call.ttl_s = finite_seconds(in.f64(), "ttl_s");
+  in.f64();  // estimated work; not used
+  call.ttl_s = check_finite(in.f64(), "ttl_s");
   const std::uint16_t bits = in.u16();
   call.redialled = (bits & kRedialled) != 0;
   call.was_cut = (bits & kWasCut) != 0;
-  in.f32();  // advice on a route: none of the sites gives any
-  in.u16();  // its tenant: not used
+  in.f32();  // route advice; not used, no site gives any
+  in.u16();  // tenant; not used
   const double dest = in.f32();
   if (dest >= 0 && dest < 65536) call.first_choice = static_cast<std::int64_t>(dest);
   const double lines = in.f32();
@@ -128,23 +128,23 @@
     default:
       throw WireError("unknown availability in a list entry");
   }
-  entry.since = finite_seconds(in.f64(), "since_s");
+  entry.since = check_finite(in.f64(), "since_s");
   return entry;
 }
 
-Rows read_rows(Reader& in) {
-  Rows rows;
+ServerRows read_rows(Reader& in) {
+  ServerRows rows;
   rows.buffer = in.u8();
   if (rows.buffer > 15) throw WireError("list buffer out of range");
   const std::uint32_t count = in.u32();
-  if (count > in.left() / kEntrySize) throw WireError("list count past the end of the frame");
+  if (count > in.left() / kEntrySize) throw WireError("list count exceeds the rest of the frame");
   for (std::uint32_t i = 0; i < count; ++i) rows.entries.push_back(read_entry(in));
   return rows;
 }
 
 Topology read_topology(Reader& in) {
   Topology topology;
-  in.u32();  // the version only grows and events come in order
+  in.u32();  // version; not needed, since versions only increase and events arrive in order
   switch (in.u8()) {
     case 0:
       topology.mode = ServerList::Mode::kDelta;
@@ -183,7 +183,7 @@
       SetupStood record;
       record.call = in.u32();
       record.attempt = in.u16();
-      record.spent_s = finite_seconds(in.f64(), "spent_s");
+      record.spent_s = check_finite(in.f64(), "spent_s");
       record.server = read_server(in);
       return record;
     }
@@ -197,13 +197,13 @@
       ProbeDone record;
       record.server = read_server(in);
       read_outcome(in.u16());
-      finite_seconds(in.f64(), "spent_s");
+      check_finite(in.f64(), "spent_s");
       record.telemetry = read_telemetry(in);
       return record;
     }
     case 9:
-      in.u16();  // the sender's number: who tells it is of no matter
-      return Mail{{unpack_hearsay(in.bytes(in.u16()))}};
+      in.u16();  // the sender's number; not used
+      return PeerMessage{{unpack_hearsay(in.bytes(in.u16()))}};
     case 10:
       return Halt{};
     case 11:
@@ -221,7 +221,7 @@
   Reader in(data);
   Header header;
   header.length = in.u32();
-  header.now = finite_seconds(in.f64(), "the clock");
+  header.now = check_finite(in.f64(), "the clock");
   header.batch = in.u32();
   return header;
 }
@@ -238,10 +238,10 @@
   body_.u8(13);
   body_.u16(instance);
   ++count_;
-  for (const Action& action : actions) put(action);
+  for (const Action& action : actions) append(action);
 }
 
-void Reply::put(const Action& action) {
+void Reply::append(const Action& action) {
   ++count_;
   std::visit(Overloaded{[&](const SendSetup& a) {
                           body_.u8(1);
@@ -280,7 +280,7 @@
                           body_.bytes(bytes);
                         },
                         [&](const Log& a) {
-                          const std::string_view text = std::string_view(a.text).substr(0, kMaxNote);
+                          const std::string_view text = std::string_view(a.text).substr(0, kMaxLogText);
                           body_.u8(9);
                           body_.u16(static_cast<std::uint16_t>(text.size()));
                           body_.bytes(text);
--- a/src/bench/wire.hpp
+++ b/src/bench/wire.hpp
@@ -1,5 +1,5 @@
-// The simulator's wire: frames, records and settings text, turned into the library's own terms and back.
-// Nothing is decided here. Malformed input throws WireError with a plain message.
+// The simulator's wire protocol: converts frames, records and settings text to the types of the library and
+// back. It makes no decisions. Malformed input throws WireError with a readable message.
 #ifndef MINTROCK_SRC_BENCH_WIRE_HPP_
 #define MINTROCK_SRC_BENCH_WIRE_HPP_
 
@@ -27,7 +27,7 @@
 using Field = instance::Field;
 using InstanceSettings = instance::InstanceSettings;
 
-inline constexpr std::size_t kHeaderSize = 16;  // of a batch
+inline constexpr std::size_t kHeaderSize = 16;  // bytes before each batch
 
 struct Header {
   std::uint32_t length = 0;
@@ -36,7 +36,7 @@
 };
 Header parse_header(std::string_view data);
 
-// Records as they stand in a batch; load reports are still raw, since their fields are the instance's own.
+// The records of a batch. Load reports stay raw, since each instance has its own report fields.
 struct ForInstance {
   std::uint16_t instance = 0;
 };
@@ -44,7 +44,7 @@
   std::uint64_t seed = 0;
   std::string settings;
 };
-struct Rows {
+struct ServerRows {
   std::uint8_t buffer = 0;
   std::vector<ServerEntry> entries;
 };
@@ -53,7 +53,7 @@
   std::uint8_t buffer = 0;
 };
 struct Halt {};
-struct Mail {
+struct PeerMessage {
   PeerNews news;
 };
 struct Finished {
@@ -64,18 +64,18 @@
   ServerId server = 0;
   std::vector<float> telemetry;
 };
-using Record = std::variant<ForInstance, PowerOn, Rows, Topology, Halt, Mail, Finished, ProbeDone, NewCall,
-                            SetupStood, CallAbandoned, TimerFired>;
+using Record = std::variant<ForInstance, PowerOn, ServerRows, Topology, Halt, PeerMessage, Finished,
+                            ProbeDone, NewCall, SetupStood, CallAbandoned, TimerFired>;
 std::vector<Record> parse_batch(std::string_view body);
 
-// Collects one reply.
+// Collects the actions of one batch and encodes them as a reply frame.
 class Reply {
  public:
   void add(std::uint16_t instance, const std::vector<Action>& actions);
   std::string frame(std::uint32_t batch) const;
 
  private:
-  void put(const Action& action);
+  void append(const Action& action);
   Writer body_;
   std::uint32_t count_ = 0;
 };
--- a/tests/bench/wire_test.cpp
+++ b/tests/bench/wire_test.cpp
@@ -1,4 +1,5 @@
-// The wire: bytes written here by hand, truncations, nonsense, and round trips through the adapter itself.
+// Tests of the simulator's wire protocol: hand-written bytes, truncations, invalid values, and round trips
+// through mintrock_drill.
 #include "bench/wire.hpp"
 
 #include <gtest/gtest.h>
@@ -25,7 +26,7 @@
     "tenants.0.allowance_per_s=9\nover_share_worth=0.2\n"
     "load_info.fields=spare,total,mean_ms,somenewfield\nsome.new.key=whatever\n";
 
-void put_server(Writer& w, std::uint32_t address, std::uint16_t port) {
+void append_server(Writer& w, std::uint32_t address, std::uint16_t port) {
   w.u32(address);
   w.u16(port);
 }
@@ -51,7 +52,7 @@
   w.u8(11);
   w.u8(5);
   w.u32(1);
-  put_server(w, 0x0a124a07, 5003);
+  append_server(w, 0x0a124a07, 5003);
   w.u16(3);
   w.u16(0);
   w.u16(1);
@@ -85,7 +86,7 @@
   Writer w;
   w.u8(5);
   w.u32(7);
-  put_server(w, 0x0a124a07, 5003);
+  append_server(w, 0x0a124a07, 5003);
   w.u16(0);
   w.f64(0.25);
   w.u16(503);
@@ -110,32 +111,33 @@
   std::string err;
 };
 
-std::string slurp(const std::string& path) {
+std::string read_file(const std::string& path) {
   std::ifstream in(path, std::ios::binary);
   std::stringstream text;
   text << in.rdbuf();
   return text.str();
 }
 
-DrillRun drill(const std::string& input) {
+DrillRun run_drill(const std::string& input) {
   const std::string base = testing::TempDir() + "mintrock_wire_" + std::to_string(getpid());
   std::ofstream(base + ".in", std::ios::binary) << input;
   const std::string command =
       std::string(MINTROCK_DRILL) + " <" + base + ".in >" + base + ".out 2>" + base + ".err";
   const int status = std::system(command.c_str());
-  DrillRun run{WIFEXITED(status) ? WEXITSTATUS(status) : -1, slurp(base + ".out"), slurp(base + ".err")};
-  for (const char* end : {".in", ".out", ".err"}) std::remove((base + end).c_str());
+  DrillRun run{WIFEXITED(status) ? WEXITSTATUS(status) : -1, read_file(base + ".out"),
+               read_file(base + ".err")};
+  for (const char* suffix : {".in", ".out", ".err"}) std::remove((base + suffix).c_str());
   return run;
 }
 
-void expect_plain_failure(const std::string& input) {
-  const DrillRun run = drill(input);
+void expect_failure_message(const std::string& input) {
+  const DrillRun run = run_drill(input);
   EXPECT_EQ(run.exit_code, 1);
   EXPECT_EQ(run.err.rfind("mintrock_drill: ", 0), 0u) << run.err;
-  EXPECT_EQ(run.err.find('\n'), run.err.size() - 1) << "one plain line: " << run.err;
+  EXPECT_EQ(run.err.find('\n'), run.err.size() - 1) << "expected a single line: " << run.err;
 }
 
-TEST(Wire, ReadsTheSettings) {
+TEST(Wire, ParsesSettings) {
   const InstanceSettings parsed = parse_settings(kSettings);
   const Settings& s = parsed.settings;
   ASSERT_EQ(s.classes.size(), 1u);
@@ -150,7 +152,7 @@
             (std::vector<Field>{Field::kSpare, Field::kTotal, Field::kWaitMs, Field::kUnknown}));
 }
 
-TEST(Wire, ReadsTheFleetAndItsReports) {
+TEST(Wire, ParsesFleetSettingsAndReports) {
   const InstanceSettings parsed = parse_settings(
       "fleet_size=265\nme=3\nlimits.peers=true\ncallers.marks_retry=true\nclasses.count=1\n"
       "classes.0.deadline_s=9.0\nload_info.fields=spare,total,load_share,depth\n");
@@ -166,40 +168,40 @@
   EXPECT_FALSE(report.wait_s);
 }
 
-TEST(Wire, HearsayGoesThereAndBack) {
+TEST(Wire, GossipRoundTrip) {
   const std::string bytes =
       pack_hearsay({{0x0a124a07138b, 0.25, 1.5}, {7, 1e9, std::numeric_limits<double>::quiet_NaN()}});
   ASSERT_EQ(bytes.size(), 22u);
-  const std::vector<GossipEntry> back = unpack_hearsay(bytes);
-  ASSERT_EQ(back.size(), 2u);
-  EXPECT_EQ(back[0].server, 0x0a124a07138bu);
-  EXPECT_DOUBLE_EQ(back[0].wait_s, 0.25);
-  EXPECT_DOUBLE_EQ(back[0].age_s, 1.5);
-  EXPECT_DOUBLE_EQ(back[1].wait_s, 65.535) << "capped";
+  const std::vector<GossipEntry> decoded = unpack_hearsay(bytes);
+  ASSERT_EQ(decoded.size(), 2u);
+  EXPECT_EQ(decoded[0].server, 0x0a124a07138bu);
+  EXPECT_DOUBLE_EQ(decoded[0].wait_s, 0.25);
+  EXPECT_DOUBLE_EQ(decoded[0].age_s, 1.5);
+  EXPECT_DOUBLE_EQ(decoded[1].wait_s, 65.535) << "capped";
   EXPECT_LE(pack_hearsay(std::vector<GossipEntry>(1000)).size(), 256u);
 }
 
-TEST(Wire, HearsayOfAnotherVersionOrLengthSaysNothing) {
-  const std::string good = pack_hearsay({{7, 0.25, 1.5}});
-  for (std::size_t n = 0; n < good.size(); ++n) EXPECT_TRUE(unpack_hearsay(good.substr(0, n)).empty()) << n;
-  EXPECT_TRUE(unpack_hearsay(good + "x").empty());
-  std::string other = good;
+TEST(Wire, GossipOfAnotherVersionOrLengthIsIgnored) {
+  const std::string valid = pack_hearsay({{7, 0.25, 1.5}});
+  for (std::size_t n = 0; n < valid.size(); ++n) EXPECT_TRUE(unpack_hearsay(valid.substr(0, n)).empty()) << n;
+  EXPECT_TRUE(unpack_hearsay(valid + "x").empty());
+  std::string other = valid;
   other[0] = 99;
   EXPECT_TRUE(unpack_hearsay(other).empty());
-  std::string many = good;
+  std::string many = valid;
   many[1] = static_cast<char>(200);
   EXPECT_TRUE(unpack_hearsay(many).empty());
 }
 
 TEST(Wire, MissingSettingsKeepTheirDefaults) {
   const Settings s = parse_settings("").settings;
-  const Settings untold;
+  const Settings defaults;
   EXPECT_TRUE(s.classes.empty());
-  EXPECT_EQ(s.attempt_limit, untold.attempt_limit);
-  EXPECT_EQ(s.release_wait_s, untold.release_wait_s);
+  EXPECT_EQ(s.attempt_limit, defaults.attempt_limit);
+  EXPECT_EQ(s.release_wait_s, defaults.release_wait_s);
 }
 
-TEST(Wire, RefusesNonsenseInSettings) {
+TEST(Wire, RejectsInvalidSettings) {
   for (const char* bad :
        {"limits.try_limit=-1", "limits.try_limit=x", "limits.try_limit=1.5", "classes.count=99999999",
         "no_equals_sign", "=3", "limits.cancelling=maybe", "classes.count=1\nclasses.0.effect=magic",
@@ -208,12 +210,12 @@
   }
 }
 
-TEST(Wire, ReadsRecordsByHand) {
+TEST(Wire, ParsesHandWrittenRecords) {
   const std::vector<Record> records =
       parse_batch(for_instance(3) + rows_and_topology() + new_call(7) + finished());
   ASSERT_EQ(records.size(), 5u);
   EXPECT_EQ(std::get<ForInstance>(records[0]).instance, 3);
-  const ServerEntry& entry = std::get<Rows>(records[1]).entries.at(0);
+  const ServerEntry& entry = std::get<ServerRows>(records[1]).entries.at(0);
   EXPECT_EQ(entry.id, (0x0a124a07ull << 16 | 5003));
   EXPECT_EQ(entry.node, 3u);
   const NewCall& call = std::get<NewCall>(records[3]);
@@ -231,18 +233,18 @@
 
 TEST(Wire, EveryTruncationThrows) {
   const std::string whole = power_on(kSettings) + rows_and_topology() + new_call(7) + finished();
-  std::size_t ends = 0;  // cuts between records are well formed
+  std::size_t complete = 0;  // truncations between records are well-formed
   for (std::size_t size = 1; size < whole.size(); ++size) {
     try {
       parse_batch(std::string_view(whole).substr(0, size));
-      ++ends;
+      ++complete;
     } catch (const WireError&) {
     }
   }
-  EXPECT_EQ(ends, 4u);  // after POWER_ON, the rows, TOPOLOGY and NEW_REQUEST
+  EXPECT_EQ(complete, 4u);  // after POWER_ON, the server rows, TOPOLOGY and NEW_REQUEST
 }
 
-TEST(Wire, RefusesUnknownCodesAndCounts) {
+TEST(Wire, RejectsUnknownCodesAndInvalidCounts) {
   EXPECT_THROW(parse_batch(std::string(1, '\x63')), WireError);
   Writer rows;
   rows.u8(11);
@@ -250,7 +252,7 @@
   rows.u32(0xffffffffu);
   EXPECT_THROW(parse_batch(rows.str()), WireError);
   std::string outcome = finished();
-  outcome[22] = 0x01;  // no such outcome
+  outcome[22] = 0x01;  // unknown outcome
   EXPECT_THROW(parse_batch(outcome), WireError);
   for (const char* bad : {"\xff", "\xc0\x80", "\xed\xa0\x80", "\xf4\x90\x80\x80", "\xe2\x82"}) {
     EXPECT_THROW(parse_batch(power_on(bad)), WireError);
@@ -258,28 +260,28 @@
   EXPECT_NO_THROW(parse_batch(power_on("a=\xc3\xa9")));
 }
 
-TEST(Wire, WritesEveryAction) {
+TEST(Wire, EncodesEveryAction) {
   Reply reply;
   reply.add(2, {SendSetup{1, 0x0a124a07ull << 16 | 5003, 0.5}, RefuseCall{2, 0.25}, FailCall{3},
                 CancelAttempt{4, 1}, SetTimer{77, 0.5}, Subscribe{}, Log{"hi"}});
-  Writer want;
-  want.u32(8);
-  want.u32(3 + 19 + 13 + 5 + 7 + 17 + 2 + 5);
-  want.u32(12);
-  want.u8(13), want.u16(2);
-  want.u8(1), want.u32(1), want.f64(0.5), put_server(want, 0x0a124a07, 5003);
-  want.u8(2), want.u32(2), want.f64(0.25);
-  want.u8(3), want.u32(3);
-  want.u8(4), want.u32(4), want.u16(1);
-  want.u8(5), want.u64(77), want.f64(0.5);
-  want.u8(11), want.u8(1);
-  want.u8(9), want.u16(2), want.bytes("hi");
-  EXPECT_EQ(reply.frame(12), want.str());
+  Writer expected;
+  expected.u32(8);
+  expected.u32(3 + 19 + 13 + 5 + 7 + 17 + 2 + 5);
+  expected.u32(12);
+  expected.u8(13), expected.u16(2);
+  expected.u8(1), expected.u32(1), expected.f64(0.5), append_server(expected, 0x0a124a07, 5003);
+  expected.u8(2), expected.u32(2), expected.f64(0.25);
+  expected.u8(3), expected.u32(3);
+  expected.u8(4), expected.u32(4), expected.u16(1);
+  expected.u8(5), expected.u64(77), expected.f64(0.5);
+  expected.u8(11), expected.u8(1);
+  expected.u8(9), expected.u16(2), expected.bytes("hi");
+  EXPECT_EQ(reply.frame(12), expected.str());
 }
 
-TEST(Adapter, SendsACallAndAnswersEmptyBatches) {
+TEST(Drill, SendsACallAndAnswersEmptyBatches) {
   const std::string body = for_instance(3) + power_on(kSettings) + rows_and_topology() + new_call(7);
-  const DrillRun run = drill(framed("") + framed(body, 2.0, 9));
+  const DrillRun run = run_drill(framed("") + framed(body, 2.0, 9));
   EXPECT_EQ(run.exit_code, 0) << run.err;
   ASSERT_EQ(run.out.size(), 12u + 12u + 3u + 19u);
   Reader in(run.out);
@@ -296,29 +298,30 @@
   EXPECT_EQ(in.u16(), 5003);
 }
 
-// Actions of a life that was halted later in the same batch name calls unknown to the next one.
-TEST(Adapter, HaltAndPowerOnInOneBatchForgetTheOldLife) {
+// Actions of an instance that is halted later in the same batch name calls that its next run doesn't know.
+TEST(Drill, HaltAndPowerOnInOneBatchDropOldActions) {
   const std::string first = for_instance(3) + power_on(kSettings) + rows_and_topology();
-  const DrillRun run = drill(framed(first) + framed(for_instance(3) + new_call(7) + std::string(1, '\x0a') +
-                                                    power_on(kSettings) + new_call(8)));
+  const DrillRun run =
+      run_drill(framed(first) + framed(for_instance(3) + new_call(7) + std::string(1, '\x0a') +
+                                       power_on(kSettings) + new_call(8)));
   EXPECT_EQ(run.exit_code, 0) << run.err;
   Reader in(std::string_view(run.out).substr(24));
   in.bytes(3);
   EXPECT_NE(in.u8(), 0);
-  EXPECT_EQ(in.u32(), 8u) << "only the new life's call is spoken of";
+  EXPECT_EQ(in.u32(), 8u) << "only the call of the new run appears";
 }
 
-TEST(Adapter, MalformedInputIsOnePlainMessageAndAFailure) {
-  const std::string good = framed(for_instance(3) + power_on(kSettings));
-  expect_plain_failure(good.substr(0, 9));
-  expect_plain_failure(good.substr(0, good.size() - 1));
-  expect_plain_failure(framed(std::string(1, '\x63')));
-  expect_plain_failure(framed(new_call(1)));
-  expect_plain_failure(framed(for_instance(3) + new_call(1)));
-  expect_plain_failure(framed(for_instance(3) + power_on("limits.try_limit=-3")));
-  expect_plain_failure(good + framed(std::string("\x0c\x00\x03\x02\x00\x00\x00\x01\x01\x07", 10)));
-  expect_plain_failure(framed("", std::numeric_limits<double>::quiet_NaN()));
-  expect_plain_failure(std::string("\xff\xff\xff\xff", 4) + good.substr(4));
+TEST(Drill, MalformedInputFailsWithASingleMessage) {
+  const std::string valid = framed(for_instance(3) + power_on(kSettings));
+  expect_failure_message(valid.substr(0, 9));
+  expect_failure_message(valid.substr(0, valid.size() - 1));
+  expect_failure_message(framed(std::string(1, '\x63')));
+  expect_failure_message(framed(new_call(1)));
+  expect_failure_message(framed(for_instance(3) + new_call(1)));
+  expect_failure_message(framed(for_instance(3) + power_on("limits.try_limit=-3")));
+  expect_failure_message(valid + framed(std::string("\x0c\x00\x03\x02\x00\x00\x00\x01\x01\x07", 10)));
+  expect_failure_message(framed("", std::numeric_limits<double>::quiet_NaN()));
+  expect_failure_message(std::string("\xff\xff\xff\xff", 4) + valid.substr(4));
 }
 
 }  // namespace
--- a/tests/fleet/cold_test.cpp
+++ b/tests/fleet/cold_test.cpp
@@ -1,5 +1,6 @@
-// Rule four by the sum of the fleet, without sockets: 30 and 300 Controllers before the same servers, with
-// uneven traffic, news that reaches each at its own time, and proxies that start again during the ramp.
+// Checks the load limit of cold servers (the fourth rule) over a whole fleet, without sockets: 30 and 300
+// Controllers in front of the same servers, with uneven traffic, list updates that reach each proxy at a
+// different time, and proxies that restart during the warm-up.
 #include <gtest/gtest.h>
 
 #include <cmath>
@@ -17,15 +18,15 @@
 namespace mintrock {
 namespace {
 
-constexpr ServerId kCold = 100;    // a new server, with a new id
-constexpr ServerId kReturned = 1;  // one that starts again under its id
-constexpr double kCapacity = 40;   // calls a second of a warm server
-constexpr int kWarm = 8;
-constexpr Time kBorn = 12;
+constexpr ServerId kNew = 100;      // a new server with a new id
+constexpr ServerId kRestarted = 1;  // a server that restarts under its id
+constexpr double kCapacity = 40;    // calls/s of a warm server
+constexpr int kWarmServers = 8;
+constexpr Time kServerStart = 12;
 constexpr Time kEnd = 24;
 
-Settings settings_of(std::uint32_t fleet) {
-  Settings out = usual();
+Settings fleet_settings(std::uint32_t fleet) {
+  Settings out = usual_settings();
   out.start_capacity = 0.1;
   out.warm_up_s = 30;
   out.fleet_size = fleet;
@@ -34,73 +35,80 @@
 
 class Fleet {
  public:
-  Fleet(std::uint32_t size, std::uint64_t seed, bool told_of_starts)
-      : settings_(settings_of(size)), random_(seed), told_of_starts_(told_of_starts), proxies_(size) {
+  Fleet(std::uint32_t size, std::uint64_t seed, bool list_has_starts)
+      : settings_(fleet_settings(size)), random_(seed), list_has_starts_(list_has_starts), proxies_(size) {
     std::lognormal_distribution<> uneven(0, 0.8);
     double sum = 0;
     for (Proxy& each : proxies_) sum += each.share = uneven(random_);
     for (std::uint32_t i = 0; i < size; ++i) {
       start(i);
-      later(gap(proxies_[i].share / sum), [this, i, rate = proxies_[i].share / sum] { offer(i, rate); });
-      // News is late, by up to two seconds, and one in ten proxies starts again during the ramp.
-      proxies_[i].hears = kBorn + 2 * uniform();
-      later(proxies_[i].hears, [this, i] { tell(i); });
+      schedule(next_gap(proxies_[i].share / sum),
+               [this, i, rate = proxies_[i].share / sum] { offer(i, rate); });
+      // List updates arrive up to two seconds late, and one in ten proxies restarts during the warm-up.
+      proxies_[i].update_at = kServerStart + 2 * uniform();
+      schedule(proxies_[i].update_at, [this, i] { send_update(i); });
       if (uniform() < 0.1) {
-        const Time again = kBorn + 1 + 6 * uniform();
-        later(again, [this, i] { start(i); });
+        const Time restart_at = kServerStart + 1 + 6 * uniform();
+        schedule(restart_at, [this, i] { start(i); });
       }
     }
     while (!events_.empty() && events_.top().at < kEnd) {
-      const Entry next = events_.top();
+      const ScheduledEvent next = events_.top();
       events_.pop();
       now_ = next.at;
-      next.fn();
+      next.callback();
     }
   }
 
-  // The fullest window of the server's, over what it may take then; above 1 it would have fallen.
-  double worst(ServerId server) const {
+  // The highest number of set-ups sent to the server within fall_s, relative to the number that it can take
+  // at that time; above 1 it would have failed.
+  double max_window_share(ServerId server) const {
     std::deque<Time> window;
-    double out = 0;
+    double max_share = 0;
     for (const Time at : arrivals_.at(server)) {
       window.push_back(at);
       while (window.front() <= at - settings_.fall_s) window.pop_front();
-      const double warm = std::min(1.0, (at - kBorn) / settings_.warm_up_s);
-      const double present = settings_.start_capacity + (1 - settings_.start_capacity) * warm;
-      const double n = settings_.overload_factor * present * kCapacity * settings_.fall_s;
-      out = std::max(out, static_cast<double>(window.size()) / (n + 2 * std::sqrt(n) + 2));
+      const double warmth = std::min(1.0, (at - kServerStart) / settings_.warm_up_s);
+      const double capacity = settings_.start_capacity + (1 - settings_.start_capacity) * warmth;
+      const double limit = settings_.overload_factor * capacity * kCapacity * settings_.fall_s;
+      max_share =
+          std::max(max_share, static_cast<double>(window.size()) / (limit + 2 * std::sqrt(limit) + 2));
     }
-    return out;
+    return max_share;
   }
-  std::size_t sent(ServerId server) const { return arrivals_.at(server).size(); }
-  std::size_t stood() const { return stood_; }
+  std::size_t attempts_at(ServerId server) const { return arrivals_.at(server).size(); }
+  std::size_t established() const { return established_; }
 
  private:
   struct Proxy {
     std::unique_ptr<Controller> controller;
     double share = 0;
-    Time hears = 0;
-    std::uint32_t life = 0;
+    Time update_at = 0;
+    std::uint32_t run = 0;
     std::map<CallId, std::uint32_t> attempts;
   };
-  struct Entry {
+  struct ScheduledEvent {
     Time at;
     std::uint64_t order;
-    std::function<void()> fn;
-    bool operator<(const Entry& other) const { return at != other.at ? at > other.at : order > other.order; }
+    std::function<void()> callback;
+    bool operator<(const ScheduledEvent& other) const {
+      return at != other.at ? at > other.at : order > other.order;
+    }
   };
 
   double uniform() { return std::uniform_real_distribution<>(0, 1)(random_); }
-  double gap(double share) {
-    return std::exponential_distribution<>(0.8 * kWarm * kCapacity * share)(random_);
+  double next_gap(double share) {
+    return std::exponential_distribution<>(0.8 * kWarmServers * kCapacity * share)(random_);
+  }
+  void schedule(Time at, std::function<void()> callback) {
+    events_.push({at, ++order_, std::move(callback)});
   }
-  void later(Time at, std::function<void()> fn) { events_.push({at, ++order_, std::move(fn)}); }
 
-  ServerEntry entry(ServerId id, bool fresh) const {
+  ServerEntry entry(ServerId id, bool just_started) const {
     ServerEntry out;
     out.id = id;
     out.node = static_cast<std::uint32_t>(id);
-    if (fresh && told_of_starts_) out.since = kBorn;
+    if (just_started && list_has_starts_) out.since = kServerStart;
     return out;
   }
   void start(std::uint32_t i) {
@@ -108,56 +116,57 @@
     Settings own = settings_;
     own.own_number = i;
     proxy.controller = std::make_unique<Controller>(own, random_());
-    proxy.life += 1;
+    proxy.run += 1;
     proxy.attempts.clear();
     handle(i, Started{});
     ServerList list;
-    const bool told = now_ >= kBorn;  // a list at start is the newest one
-    for (ServerId id = 1; id <= kWarm; ++id) list.entries.push_back(entry(id, told && id == kReturned));
-    if (told) list.entries.push_back(entry(kCold, true));
+    const bool started = now_ >= kServerStart;  // a restarted proxy gets the newest list
+    for (ServerId id = 1; id <= kWarmServers; ++id)
+      list.entries.push_back(entry(id, started && id == kRestarted));
+    if (started) list.entries.push_back(entry(kNew, true));
     handle(i, list);
   }
-  void tell(std::uint32_t i) {
+  void send_update(std::uint32_t i) {
     ServerList list;
     list.mode = ServerList::Mode::kDelta;
-    list.entries = {entry(kCold, true), entry(kReturned, true)};
+    list.entries = {entry(kNew, true), entry(kRestarted, true)};
     handle(i, list);
   }
   void offer(std::uint32_t i, double share) {
     NewCall call;
-    call.call = ++last_;
-    call.key = last_;
+    call.call = ++last_call_;
+    call.key = last_call_;
     call.ttl_s = 2;
     handle(i, call);
-    later(now_ + gap(share), [this, i, share] { offer(i, share); });
+    schedule(now_ + next_gap(share), [this, i, share] { offer(i, share); });
   }
   void handle(std::uint32_t i, const Event& event) {
     std::vector<Action> actions;
     proxies_[i].controller->handle(now_, event, actions);
-    const std::uint32_t life = proxies_[i].life;
+    const std::uint32_t run = proxies_[i].run;
     for (const Action& action : actions) {
       if (const auto* send = std::get_if<SendSetup>(&action)) {
-        sent_to(i, life, *send);
+        carry_out(i, run, *send);
       } else if (const auto* timer = std::get_if<SetTimer>(&action)) {
-        later(now_ + timer->after_s, [this, i, life, token = timer->token] {
-          if (proxies_[i].life == life) handle(i, TimerFired{token});
+        schedule(now_ + timer->after_s, [this, i, run, token = timer->token] {
+          if (proxies_[i].run == run) handle(i, TimerFired{token});
         });
       }
     }
   }
-  void sent_to(std::uint32_t i, std::uint32_t life, const SendSetup& send) {
-    // Only what comes of proxies that had been told of the start counts: the others can't know.
-    if (now_ >= kBorn && (send.server == kCold || now_ >= proxies_[i].hears || life > 1)) {
+  void carry_out(std::uint32_t i, std::uint32_t run, const SendSetup& send) {
+    // Counts only proxies that have received the update: the others can't know of the start.
+    if (now_ >= kServerStart && (send.server == kNew || now_ >= proxies_[i].update_at || run > 1)) {
       arrivals_[send.server].push_back(now_);
     }
     const std::uint32_t attempt = proxies_[i].attempts[send.call]++;
-    later(now_ + 0.02, [this, i, life, send, attempt] {
-      if (proxies_[i].life != life) return;
-      stood_ += 1;
+    schedule(now_ + 0.02, [this, i, run, send, attempt] {
+      if (proxies_[i].run != run) return;
+      established_ += 1;
       handle(i, SetupStood{send.call, attempt, send.server, 0.02});
     });
-    later(now_ + 1, [this, i, life, send, attempt] {
-      if (proxies_[i].life != life) return;
+    schedule(now_ + 1, [this, i, run, send, attempt] {
+      if (proxies_[i].run != run) return;
       AttemptEnded end;
       end.call = send.call;
       end.attempt = attempt;
@@ -170,39 +179,40 @@
 
   Settings settings_;
   std::mt19937_64 random_;
-  bool told_of_starts_;
+  bool list_has_starts_;
   Time now_ = 0;
   std::uint64_t order_ = 0;
-  CallId last_ = 0;
-  std::size_t stood_ = 0;
+  CallId last_call_ = 0;
+  std::size_t established_ = 0;
   std::vector<Proxy> proxies_;
-  std::priority_queue<Entry> events_;
-  std::map<ServerId, std::vector<Time>> arrivals_{{kCold, {}}, {kReturned, {}}};
+  std::priority_queue<ScheduledEvent> events_;
+  std::map<ServerId, std::vector<Time>> arrivals_{{kNew, {}}, {kRestarted, {}}};
 };
 
 class ColdFleet : public testing::TestWithParam<std::uint32_t> {};
 
-TEST_P(ColdFleet, NoColdServerFallsUnderTheSumOfAllProxies) {
+TEST_P(ColdFleet, NoColdServerIsOverloadedByTheWholeFleet) {
   constexpr std::uint64_t kSeeds = 12;
-  double worst = 0;
+  double max_share = 0;
   for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
     const Fleet fleet(GetParam(), seed, true);
-    for (const ServerId server : {kCold, kReturned}) {
-      EXPECT_LE(fleet.worst(server), 1) << "seed " << seed << ", server " << server;
-      worst = std::max(worst, fleet.worst(server));
+    for (const ServerId server : {kNew, kRestarted}) {
+      EXPECT_LE(fleet.max_window_share(server), 1) << "seed " << seed << ", server " << server;
+      max_share = std::max(max_share, fleet.max_window_share(server));
     }
-    EXPECT_GT(fleet.sent(kCold), 0u) << "it is used at all";
-    EXPECT_GT(fleet.stood(), 1000u);
+    EXPECT_GT(fleet.attempts_at(kNew), 0u) << "the server gets no calls";
+    EXPECT_GT(fleet.established(), 1000u);
   }
-  RecordProperty("worst_share_of_bound", std::to_string(worst));
+  RecordProperty("worst_share_of_bound", std::to_string(max_share));
   std::printf("%u proxies, %u seeds: the fullest window is %.2f of its bound\n", GetParam(),
-              static_cast<unsigned>(kSeeds), worst);
+              static_cast<unsigned>(kSeeds), max_share);
 }
 
-// The guard off: with the starts untold, nothing holds the fleet back. Else the test above shows nothing.
-TEST_P(ColdFleet, WithoutTheBudgetTheSameFleetWouldPushItOver) {
+// Without start times in the list, nothing limits the fleet. This shows that the test above would fail
+// without the limit.
+TEST_P(ColdFleet, WithoutStartTimesTheFleetOverloadsTheServer) {
   const Fleet fleet(GetParam(), 1, false);
-  EXPECT_GT(std::max(fleet.worst(kCold), fleet.worst(kReturned)), 1);
+  EXPECT_GT(std::max(fleet.max_window_share(kNew), fleet.max_window_share(kRestarted)), 1);
 }
 
 INSTANTIATE_TEST_SUITE_P(Sizes, ColdFleet, testing::Values(30u, 300u));
--- a/tests/usual_settings.hpp
+++ b/tests/usual_settings.hpp
@@ -1,4 +1,4 @@
-// The settings that tests of the Controller begin with.
+// Settings that most tests of the Controller start from.
 #ifndef MINTROCK_TESTS_USUAL_SETTINGS_HPP_
 #define MINTROCK_TESTS_USUAL_SETTINGS_HPP_
 
@@ -6,23 +6,23 @@
 
 namespace mintrock {
 
-inline Settings usual() {
-  Settings s;
-  s.classes.resize(2);
-  s.classes[0].target_s = 1.2;
-  s.classes[1].target_s = 1.5;
-  s.classes[1].value = 4;
-  for (Settings::Class& c : s.classes) c.deadline_s = 9;
-  s.release_wait_s = 0.5;
-  s.start_capacity = 0.3;
-  s.warm_up_s = 12;
-  s.overload_factor = 2;
-  s.fall_s = 2;
-  s.attempt_limit = 4;
-  s.max_retry_after_s = 2;
-  s.can_cancel = true;
-  s.gives_retry_after = true;
-  return s;
+inline Settings usual_settings() {
+  Settings settings;
+  settings.classes.resize(2);
+  settings.classes[0].target_s = 1.2;
+  settings.classes[1].target_s = 1.5;
+  settings.classes[1].value = 4;
+  for (Settings::Class& c : settings.classes) c.deadline_s = 9;
+  settings.release_wait_s = 0.5;
+  settings.start_capacity = 0.3;
+  settings.warm_up_s = 12;
+  settings.overload_factor = 2;
+  settings.fall_s = 2;
+  settings.attempt_limit = 4;
+  settings.max_retry_after_s = 2;
+  settings.can_cancel = true;
+  settings.gives_retry_after = true;
+  return settings;
 }
 
 }  // namespace mintrock
