--- a/tests/controller_test.cpp
+++ b/tests/controller_test.cpp
@@ -660,7 +660,7 @@
   ASSERT_EQ(h.send_count(h.new_call(1, 0)), 1);  // lost
   bool cancelled = false;
   for (CallId id = 2; id < 12; ++id) {
-    ASSERT_EQ(h.send_count(h.new_call(id, 0)), 1) << "the server is open at " << h.now;
+    ASSERT_EQ(h.send_count(h.new_call(id, 0)), 1) << "no attempt sent at " << h.now;
     h.advance_to(h.now + 0.08);
     for (const Action& a : h.established(id, 10, 0.08)) {
       const auto* cancel = std::get_if<CancelAttempt>(&a);
@@ -967,8 +967,8 @@
     });
     if (cause == ColdCause::kUnreachable) answer = Outcome::kConnectFailed;
     if (answer == Outcome::kConnectFailed) {
-      f.run(12, 1000.0 / Fleet::kSize, true, watched, answer,
-            s.fall_s);           // long enough for all senders to try it
+      // Long enough for all senders to try it.
+      f.run(12, 1000.0 / Fleet::kSize, true, watched, answer, s.fall_s);
       answer = Outcome::kEnded;  // it is back without a list update: trials first, then cold
     }
     const int calm = f.run(4, 1000.0 / Fleet::kSize, false, watched, answer, s.fall_s);
--- a/tests/fleet/cold_test.cpp
+++ b/tests/fleet/cold_test.cpp
@@ -155,7 +155,7 @@
     }
   }
   void carry_out(std::uint32_t i, std::uint32_t run, const SendSetup& send) {
-    // Counts only proxies that have received the update: the others can't know of the start.
+    // Counts only set-ups of proxies that have received the update: the others can't know of the start.
     if (now_ >= kServerStart && (send.server == kNew || now_ >= proxies_[i].update_at || run > 1)) {
       arrivals_[send.server].push_back(now_);
     }
