--- a/src/edge/edge.cpp
+++ b/src/edge/edge.cpp
@@ -144,7 +144,7 @@
              return AdminServer::Response{200, "text/plain; version=0.0.4", metrics_.serialize()};
            }},
           {"/calls", [this] { return calls(); }}});
-  if (config_.settings.tells_peers) {
+  if (config_.settings.can_tell_peers) {
     datagrams_ = std::make_unique<net::Datagrams>(
         loop_, config_.fleet.listen,
         [this](std::string_view bytes, net::Address from) { on_datagram(bytes, from); });
@@ -282,7 +282,7 @@
 
 void Edge::subscribe() { list_client_->open(); }
 
-void Edge::tell_peer(std::uint32_t peer, const std::vector<Hearsay>& entries) {
+void Edge::tell_peer(std::uint32_t peer, const std::vector<GossipEntry>& entries) {
   if (!datagrams_ || peer >= config_.fleet.peers.size()) return;
   datagrams_->send(gossip_writer_.pack(entries, [this](ServerId id) { return identity_of(id); }),
                    config_.fleet.peers[peer]);
--- a/tests/platform/platform_edge_test.cpp
+++ b/tests/platform/platform_edge_test.cpp
@@ -443,7 +443,7 @@
   caller.setup(7);
   ASSERT_TRUE(fixture.until([&] { return caller.count(9) == 1 && !payloads.empty(); }));
   EXPECT_LE(payloads[0].size(), 256u);
-  std::vector<Hearsay> hearsay = instance::unpack_hearsay(payloads[0]);
+  std::vector<GossipEntry> hearsay = instance::unpack_hearsay(payloads[0]);
   ASSERT_EQ(hearsay.size(), 1u);
   hearsay[0].wait_s = 30;  // of that server, just now
   hearsay[0].age_s = 0;
