--- a/benchmarks/call_path.cpp
+++ b/benchmarks/call_path.cpp
@@ -7,7 +7,7 @@
 #include "diameter/codec.hpp"
 #include "diameter/dictionary.hpp"
 #include "diameter/duplicates.hpp"
-#include "edge/call_desk.hpp"
+#include "edge/call_manager.hpp"
 #include "edge/credit_control.hpp"
 
 namespace mintrock::edge {
@@ -67,14 +67,14 @@
 }
 BENCHMARK(FullDuplicates);
 
-struct Nowhere : DeskPorts {
-  void answer(CallId, const Verdict&) override {}
+struct Nowhere : CallManagerDelegate {
+  void answer(CallId, const SetupResult&) override {}
   void cut(CallId) override {}
-  Handover send_setup(CallId, std::uint32_t, ServerId, double) override { return Handover::kTaken; }
+  SendResult send_setup(CallId, std::uint32_t, ServerId, double) override { return SendResult::kAccepted; }
   void release(CallId, std::uint32_t, ServerId) override {}
   void forget(CallId) override {}
   void subscribe() override {}
-  void tell_peer(std::uint32_t, const std::vector<Hearsay>&) override {}
+  void send_gossip(std::uint32_t, const std::vector<Hearsay>&) override {}
   void log(const std::string&) override {}
 };
 
@@ -83,20 +83,20 @@
   Nowhere ports;
   Settings settings;
   settings.classes.resize(1);
-  CallDesk desk(settings, 1, 1000, ports);
+  CallManager desk(settings, 1, 1000, ports);
   desk.start(0);
   ServerList list;
   list.entries.resize(3);
   for (std::uint32_t i = 0; i < 3; ++i) list.entries[i].id = i + 1;
-  desk.list(list, 0);
+  desk.update_servers(list, 0);
   double now = 1;
   for (auto _ : state) {
     now += 0.001;
-    const CallId id = desk.next_call();
-    Offer offer;
+    const CallId id = desk.next_call_id();
+    CallRequest offer;
     offer.ttl_s = 3;
     desk.offer(id, offer, now);
-    desk.stood(id, 0, {}, now + 0.0005);
+    desk.on_established(id, 0, {}, now + 0.0005);
     desk.hang_up(id, now + 0.0006);
     desk.tick(now + 0.0006);
   }
--- a/src/edge/core_side.cpp
+++ b/src/edge/core_side.cpp
@@ -105,22 +105,22 @@
   return false;
 }
 
-Handover CoreSide::send_setup(CallId call, std::uint32_t attempt, ServerId id, double give_up_after_s,
-                              RecordPtr record) {
+SendResult CoreSide::send_setup(CallId call, std::uint32_t attempt, ServerId id, double give_up_after_s,
+                                RecordPtr record) {
   Server* server = find(id);
-  if (server == nullptr || !server->link || stopping_) return Handover::kNotSent;
+  if (server == nullptr || !server->link || stopping_) return SendResult::kNotSent;
   const diameter::Peer& peer = server->link->peer();
   if (peer.usable()) {
     transmit(*server, {call, attempt}, give_up_after_s, std::move(record));
-    return Handover::kTaken;
+    return SendResult::kAccepted;
   }
-  if (peer.open()) return Handover::kNotSent;  // suspect: RFC 3539 sends nothing new there
-  if (peer.state() == diameter::Peer::State::kClosing) return Handover::kNoWay;
+  if (peer.open()) return SendResult::kNotSent;  // suspect: RFC 3539 sends nothing new there
+  if (peer.state() == diameter::Peer::State::kClosing) return SendResult::kNoConnection;
   // Waits for the connection, for a while: at start, and after a break, it is about to stand.
   server->link->start();
   server->sessions.wait({call, attempt}, give_up_after_s, std::move(record), loop_.now());
   watch(*server);
-  return Handover::kTaken;
+  return SendResult::kAccepted;
 }
 
 void CoreSide::transmit(Server& server, CoreSessions::Attempt who, double give_up_after_s, RecordPtr record) {
--- a/src/edge/core_side.hpp
+++ b/src/edge/core_side.hpp
@@ -12,7 +12,7 @@
 #include <vector>
 
 #include "edge/answer_watch.hpp"
-#include "edge/call_desk.hpp"
+#include "edge/call_manager.hpp"
 #include "edge/config.hpp"
 #include "edge/core_sessions.hpp"
 #include "edge/credit_control.hpp"
@@ -50,8 +50,8 @@
 
   // What the list says of a server. One that is ready is connected to at once.
   void update(ServerId server, const list::Entry& entry);
-  Handover send_setup(CallId call, std::uint32_t attempt, ServerId server, double give_up_after_s,
-                      RecordPtr record);
+  SendResult send_setup(CallId call, std::uint32_t attempt, ServerId server, double give_up_after_s,
+                        RecordPtr record);
   // True: the server is sent a release, now or once it can be, and `core_released` tells when it is
   // confirmed.
   bool release(CallId call, std::uint32_t attempt, ServerId server, RecordPtr record);
--- a/src/edge/diameter_front.cpp
+++ b/src/edge/diameter_front.cpp
@@ -338,7 +338,7 @@
 
 // ---- What became of a call ----
 
-void DiameterFront::answer(CallId id, const Verdict& verdict) {
+void DiameterFront::answer(CallId id, const SetupResult& result) {
   const auto found = open_.find(id);
   if (found == open_.end() || found->second.answered) return;
   Open& open = found->second;
@@ -346,30 +346,30 @@
   SetupAnswer answer;
   answer.origin_host = local_.host;
   answer.origin_realm = local_.realm;
-  switch (verdict.kind) {
-    case Verdict::Kind::kStands:
+  switch (result.kind) {
+    case SetupResult::Kind::kEstablished:
       open.stands = true;
       answer.result = diameter::kSuccess;
-      answer.origin_host = board_.identity_of(verdict.server);
+      answer.origin_host = board_.identity_of(result.server);
       answer.origin_realm = open.record->destination_realm;
       break;
-    case Verdict::Kind::kRefused:
+    case SetupResult::Kind::kRefused:
       answer.result = diameter::kTooBusy;
-      answer.retry_after_s = verdict.retry_after_s;
-      answer.text = verdict.why;
+      answer.retry_after_s = result.retry_after_s;
+      answer.text = result.reason;
       break;
-    case Verdict::Kind::kRejected: {
+    case SetupResult::Kind::kRejected: {
       const CoreAnswer& met = board_.rejection_of(id);
       answer.result = met.result;
-      answer.origin_host = board_.identity_of(verdict.server);
+      answer.origin_host = board_.identity_of(result.server);
       answer.origin_realm = open.record->destination_realm;
       answer.text = met.text;
       answer.failed_avp = met.failed_avp;
       break;
     }
-    case Verdict::Kind::kFailed:
+    case SetupResult::Kind::kFailed:
       answer.result = diameter::kUnableToComply;
-      answer.text = verdict.why;
+      answer.text = result.reason;
       break;
   }
   if (config_.callers.plain && answer.retry_after_s > 0) {
--- a/src/edge/diameter_front.hpp
+++ b/src/edge/diameter_front.hpp
@@ -39,7 +39,7 @@
       std::function<void(const std::string& peer, const char* event, const std::string& detail)> event);
   ~DiameterFront() override;
 
-  void answer(CallId call, const Verdict& verdict) override;
+  void answer(CallId call, const SetupResult& result) override;
   void cut(CallId call) override;
   void forget(CallId call) override;
   void released(const std::string& session, bool ended) override;
--- a/src/edge/edge.cpp
+++ b/src/edge/edge.cpp
@@ -63,11 +63,11 @@
                             const std::map<std::string, std::string>& labels, const std::uint64_t& value) {
     metrics_.counter(name, help, labels, [&value] { return static_cast<double>(value); });
   };
-  const DeskCounts& d = desk_.counts();
+  const CallCounters& d = desk_.counters();
   const char* const kCalls = "mintrock_calls_total";
   const char* const kCallsHelp = "Calls by what became of their set-up";
   count("mintrock_calls_offered_total", "Calls that callers offered", {}, d.offered);
-  count(kCalls, kCallsHelp, {{"outcome", "stood"}}, d.stood);
+  count(kCalls, kCallsHelp, {{"outcome", "stood"}}, d.established);
   count(kCalls, kCallsHelp, {{"outcome", "refused"}}, d.refused);
   count(kCalls, kCallsHelp, {{"outcome", "failed"}}, d.failed);
   count(kCalls, kCallsHelp, {{"outcome", "abandoned"}}, d.abandoned);
@@ -113,9 +113,9 @@
   metrics_.gauge("mintrock_ends_open", "Ends of calls that wait for a core server's word", {},
                  [this] { return static_cast<double>(front_.ends_open()); });
   metrics_.gauge("mintrock_calls_open", "Calls without an answer yet", {},
-                 [this] { return static_cast<double>(desk_.open()); });
+                 [this] { return static_cast<double>(desk_.pending()); });
   metrics_.gauge("mintrock_calls_standing", "Calls that stand", {},
-                 [this] { return static_cast<double>(desk_.standing()); });
+                 [this] { return static_cast<double>(desk_.established()); });
   metrics_.gauge("mintrock_timers", "Timers set", {},
                  [this] { return static_cast<double>(desk_.timers() + loop_.timers().size()); });
   metrics_.gauge("mintrock_list_revision", "Revision of the pool list", {},
@@ -153,7 +153,7 @@
                                list_fresh_ = false;
                                ServerList failed;
                                failed.mode = ServerList::Mode::kFailed;
-                               desk_.list(failed, loop_.now());
+                               desk_.update_servers(failed, loop_.now());
                                watch_desk();
                              }});
   if (!load_kept_list()) load_cached_list();
@@ -181,8 +181,8 @@
 // ---- Fronts ----
 
 void Edge::offer(Front& front, CallId id, RecordPtr record, bool peer_on_trial) {
-  Offer offer;
-  offer.peer_on_trial = peer_on_trial;
+  CallRequest offer;
+  offer.peer_reopening = peer_on_trial;
   const ClassOf kind = class_of(config_.classes, *record);
   class_assumed_ += kind.assumed;
   offer.call_class = kind.place;
@@ -239,15 +239,16 @@
 
 // ---- What the desk asks for ----
 
-void Edge::answer(CallId call, const Verdict& verdict) {
+void Edge::answer(CallId call, const SetupResult& result) {
   const auto found = calls_.find(call);
   if (found == calls_.end()) return;
-  if (std::string_view(verdict.why) == "overdue") {
+  if (std::string_view(result.reason) == "overdue") {
     log_event(err, "overdue", {{"session", found->second.record->session_id}});
   }
-  log_event(debug, "answered", {{"session", found->second.record->session_id}, {"detail", verdict.why}});
-  if (verdict.kind == Verdict::Kind::kStands) metrics_.setup_delay(loop_.now() - found->second.offered);
-  found->second.front->answer(call, verdict);
+  log_event(debug, "answered", {{"session", found->second.record->session_id}, {"detail", result.reason}});
+  if (result.kind == SetupResult::Kind::kEstablished)
+    metrics_.setup_delay(loop_.now() - found->second.offered);
+  found->second.front->answer(call, result);
 }
 
 void Edge::cut(CallId call) {
@@ -262,9 +263,9 @@
   calls_.erase(found);
 }
 
-Handover Edge::send_setup(CallId call, std::uint32_t attempt, ServerId server, double give_up_after_s) {
+SendResult Edge::send_setup(CallId call, std::uint32_t attempt, ServerId server, double give_up_after_s) {
   const auto found = calls_.find(call);
-  if (found == calls_.end()) return Handover::kNotSent;
+  if (found == calls_.end()) return SendResult::kNotSent;
   return core_.send_setup(call, attempt, server, give_up_after_s, found->second.record);
 }
 
@@ -276,7 +277,7 @@
 
 void Edge::subscribe() { list_->open(); }
 
-void Edge::tell_peer(std::uint32_t peer, const std::vector<Hearsay>& hearsay) {
+void Edge::send_gossip(std::uint32_t peer, const std::vector<Hearsay>& hearsay) {
   if (!datagrams_ || peer >= config_.fleet.peers.size()) return;
   datagrams_->send(hearsay_out_.pack(hearsay, [this](ServerId id) { return identity_of(id); }),
                    config_.fleet.peers[peer]);
@@ -287,7 +288,7 @@
 // ---- What the core side tells ----
 
 void Edge::core_stood(CallId call, std::uint32_t attempt, const CoreAnswer& answer) {
-  desk_.stood(call, attempt, answer.report, loop_.now());
+  desk_.on_established(call, attempt, answer.report, loop_.now());
   watch_desk();
 }
 
@@ -296,12 +297,12 @@
     const auto found = calls_.find(call);
     if (found != calls_.end()) found->second.rejection = std::make_unique<const CoreAnswer>(answer);
   }
-  desk_.ended(call, attempt, answer.outcome, answer.cause, answer.told_wait_s, answer.report, loop_.now());
+  desk_.on_ended(call, attempt, answer.outcome, answer.cause, answer.told_wait_s, answer.report, loop_.now());
   watch_desk();
 }
 
 void Edge::core_load(ServerId server, const CoreAnswer& answer) {
-  desk_.load(server, answer.report, loop_.now());
+  desk_.update_load(server, answer.report, loop_.now());
   watch_desk();
 }
 
@@ -339,7 +340,7 @@
   log_event(info, "list", {{"revision", std::to_string(news.revision)}});
   // Told to the Controller first: what is drained must be known before anything that waits is looked at
   // again.
-  desk_.list(
+  desk_.update_servers(
       book_.event(news, news.full ? ServerList::Mode::kFull : ServerList::Mode::kDelta, now, net::wall_now()),
       now);
   for (const auto& [id, entry] : book_.entries()) core_.update(id, entry);
@@ -425,7 +426,7 @@
                {"detail", kept.back().trust.why}});
   }
   told.entries = membership::tell(kept, now);
-  desk_.list(told, now);
+  desk_.update_servers(told, now);
   for (const ServerEntry& each : told.entries) core_.update(each.id, *book_.find(each.id));
   return true;
 }
@@ -484,7 +485,7 @@
     news.revision = 0;
     book_.take(news);
     const double now = loop_.now();
-    desk_.list(book_.event(news, ServerList::Mode::kCached, now, net::wall_now()), now);
+    desk_.update_servers(book_.event(news, ServerList::Mode::kCached, now, net::wall_now()), now);
     for (const auto& [id, entry] : book_.entries()) core_.update(id, entry);
     log_event(info, "list_cached", {{"detail", std::to_string(news.entries.size()) + " servers"}});
   } catch (const std::exception& error) {
@@ -524,7 +525,7 @@
     log_event(debug, "hearsay_dropped", {{"peer", from.str()}, {"detail", why}});
     return;
   }
-  desk_.peer_news(*news, loop_.now());
+  desk_.on_peer_news(*news, loop_.now());
   watch_desk();
 }
 
@@ -552,7 +553,7 @@
 void Edge::drain() {
   if (draining_) return;
   draining_ = true;
-  log_event(info, "draining", {{"open", std::to_string(desk_.open())}});
+  log_event(info, "draining", {{"open", std::to_string(desk_.pending())}});
   desk_.drain();
   front_.stop_listening();
   double longest = 0;
@@ -566,7 +567,7 @@
   constexpr double kLook = 0.05;      // s
   constexpr double kDprAnswers = 11;  // s; a peer's own time-out for the DPA is 10 s
   const bool over = loop_.now() >= drain_until_;
-  if (!stopping_ && (desk_.open() == 0 || over)) {
+  if (!stopping_ && (desk_.pending() == 0 || over)) {
     stopping_ = true;
     drain_until_ = loop_.now() + kDprAnswers;
     front_.stop();
@@ -618,7 +619,7 @@
   static const char* const kStates[] = {"deciding", "out", "stands"};
   const double now = loop_.now();
   nlohmann::ordered_json all = nlohmann::ordered_json::array();
-  for (const CallDesk::View& each : desk_.calls()) {
+  for (const CallManager::View& each : desk_.calls()) {
     const auto entry = calls_.find(each.call);
     nlohmann::ordered_json json{{"call", each.call}, {"state", kStates[static_cast<int>(each.state)]}};
     if (entry != calls_.end()) {
@@ -629,7 +630,7 @@
     const list::Entry* server = book_.find(each.server);
     if (server != nullptr) json["server"] = server->identity;
     json["attempts"] = each.attempts;
-    json["age_s"] = now - each.since;
+    json["age_s"] = now - each.offered_at;
     all.push_back(std::move(json));
   }
   return {200, "application/json", all.dump(2, ' ', false, nlohmann::json::error_handler_t::replace) + "\n"};
--- a/src/edge/edge.hpp
+++ b/src/edge/edge.hpp
@@ -11,7 +11,7 @@
 #include <unordered_map>
 
 #include "edge/admin.hpp"
-#include "edge/call_desk.hpp"
+#include "edge/call_manager.hpp"
 #include "edge/config.hpp"
 #include "edge/core_side.hpp"
 #include "edge/diameter_front.hpp"
@@ -25,7 +25,7 @@
 
 namespace mintrock::edge {
 
-class Edge : private DeskPorts, private CorePorts, private Switchboard {
+class Edge : private CallManagerDelegate, private CorePorts, private Switchboard {
  public:
   Edge(net::Loop& loop, Config config, std::string config_file);
   ~Edge() override;
@@ -34,14 +34,14 @@
   void reload();  // SIGHUP: what can change safely
   net::Address callers_address() const { return front_.listening(); }
   net::Address admin_address() const { return admin_->listening(); }
-  const DeskCounts& desk_counts() const { return desk_.counts(); }
+  const CallCounters& desk_counts() const { return desk_.counters(); }
   const CoreCounts& core_counts() const { return core_.counts(); }
   // The state of a core server's peer machine, by its name; empty: not known.
   std::string core_state(const std::string& identity) const;
   std::uint64_t list_revision() const { return book_.revision(); }
   std::size_t callers_connected() const { return front_.open_peers(); }
-  std::size_t open_calls() const { return desk_.open(); }
-  std::size_t standing_calls() const { return desk_.standing(); }
+  std::size_t open_calls() const { return desk_.pending(); }
+  std::size_t standing_calls() const { return desk_.established(); }
   void drain();  // SIGTERM: no new calls, answers awaited, DPR, then the loop is stopped
 
  private:
@@ -52,14 +52,14 @@
     std::unique_ptr<const CoreAnswer> rejection;
   };
 
-  // DeskPorts
-  void answer(CallId call, const Verdict& verdict) override;
+  // CallManagerDelegate
+  void answer(CallId call, const SetupResult& result) override;
   void cut(CallId call) override;
-  Handover send_setup(CallId call, std::uint32_t attempt, ServerId server, double give_up_after_s) override;
+  SendResult send_setup(CallId call, std::uint32_t attempt, ServerId server, double give_up_after_s) override;
   void release(CallId call, std::uint32_t attempt, ServerId server) override;
   void forget(CallId call) override;
   void subscribe() override;
-  void tell_peer(std::uint32_t peer, const std::vector<Hearsay>& hearsay) override;
+  void send_gossip(std::uint32_t peer, const std::vector<Hearsay>& hearsay) override;
   void log(const std::string& text) override;
   // CorePorts
   void core_stood(CallId call, std::uint32_t attempt, const CoreAnswer& answer) override;
@@ -69,7 +69,7 @@
   void core_errors(const std::string& server, const AnswerWatch::Warning& warning) override;
   void core_event(const std::string& server, const char* event, const std::string& detail) override;
   // Switchboard
-  CallId next_call() override { return desk_.next_call(); }
+  CallId next_call() override { return desk_.next_call_id(); }
   void offer(Front& front, CallId call, RecordPtr record, bool peer_on_trial) override;
   std::optional<diameter::Fault> refusal_of_realm(const CallRecord& record) override;
   std::optional<diameter::Fault> refusal_of_setup(const CallRecord& record) override;
@@ -99,7 +99,7 @@
   Metrics metrics_;
   list::Book book_;
   Realms realms_;
-  CallDesk desk_;
+  CallManager desk_;
   CoreSide core_;
   DiameterFront front_;
   std::unordered_map<CallId, CallEntry> calls_;
--- a/src/edge/front.hpp
+++ b/src/edge/front.hpp
@@ -6,7 +6,7 @@
 #include <optional>
 #include <string>
 
-#include "edge/call_desk.hpp"
+#include "edge/call_manager.hpp"
 #include "edge/core_side.hpp"
 #include "edge/credit_control.hpp"
 
@@ -37,7 +37,7 @@
 class Front {
  public:
   virtual ~Front() = default;
-  virtual void answer(CallId call, const Verdict& verdict) = 0;
+  virtual void answer(CallId call, const SetupResult& result) = 0;
   virtual void cut(CallId call) = 0;     // it stood, and the core side ended it
   virtual void forget(CallId call) = 0;  // nothing more comes for it
   // A core server confirms the end of a session: it has ended it, or knows of none.
--- a/src/platform/platform_edge.cpp
+++ b/src/platform/platform_edge.cpp
@@ -123,30 +123,30 @@
 
 // ---- What the desk asks for ----
 
-void PlatformEdge::answer(CallId id, const edge::Verdict& verdict) {
+void PlatformEdge::answer(CallId id, const edge::SetupResult& result) {
   const auto found = calls_.find(id);
   if (found == calls_.end()) return;
   Call& call = found->second;
   const double now = loop_.now();
-  switch (verdict.kind) {
-    case edge::Verdict::Kind::kStands:
-      call.server = verdict.server;
-      log_event(info, "stands", {{"call", hex_id(call.id)}, {"peer", identity(verdict.server)}});
+  switch (result.kind) {
+    case edge::SetupResult::Kind::kEstablished:
+      call.server = result.server;
+      log_event(info, "stands", {{"call", hex_id(call.id)}, {"peer", identity(result.server)}});
       callers_.answer(call.id, call.answer, now);
       call.answer.clear();
       call.description.clear();
       call.description.shrink_to_fit();
       return;
-    case edge::Verdict::Kind::kRefused: {
-      log_event(info, "refused", {{"call", hex_id(call.id)}, {"detail", verdict.why}});
+    case edge::SetupResult::Kind::kRefused: {
+      log_event(info, "refused", {{"call", hex_id(call.id)}, {"detail", result.reason}});
       std::optional<std::uint32_t> stay_away_ms;
-      if (verdict.retry_after_s > 0) {
-        stay_away_ms = static_cast<std::uint32_t>(std::ceil(verdict.retry_after_s * 1000));
+      if (result.retry_after_s > 0) {
+        stay_away_ms = static_cast<std::uint32_t>(std::ceil(result.retry_after_s * 1000));
       }
       return callers_.refuse(call.id, kCauseCongestion, stay_away_ms, now);
     }
     default:
-      log_event(info, "failed", {{"call", hex_id(call.id)}, {"detail", verdict.why}});
+      log_event(info, "failed", {{"call", hex_id(call.id)}, {"detail", result.reason}});
       return callers_.refuse(call.id, kCauseTemporaryFailure, {}, now);
   }
 }
@@ -156,12 +156,12 @@
   if (found != calls_.end()) callers_.end(found->second.id, found->second.end_cause, loop_.now());
 }
 
-edge::Handover PlatformEdge::send_setup(CallId id, std::uint32_t attempt, ServerId server,
-                                        double give_up_after_s) {
+edge::SendResult PlatformEdge::send_setup(CallId id, std::uint32_t attempt, ServerId server,
+                                          double give_up_after_s) {
   const auto found = calls_.find(id);
   const auto core = cores_.find(server);
   if (found == calls_.end() || core == cores_.end() || core->second.state != ServerEntry::State::kReady) {
-    return edge::Handover::kNotSent;
+    return edge::SendResult::kNotSent;
   }
   const Call& call = found->second;
   log_event(info, "attempt",
@@ -170,7 +170,7 @@
   core->second.links->set_up(
       {id, attempt}, call.id,
       write_core_setup(call.id, call.service_class, call.number, left_ms, call.description), loop_.now());
-  return edge::Handover::kTaken;
+  return edge::SendResult::kAccepted;
 }
 
 void PlatformEdge::release(CallId id, std::uint32_t, ServerId server) {
@@ -189,7 +189,7 @@
   calls_.erase(found);
 }
 
-void PlatformEdge::tell_peer(std::uint32_t peer, const std::vector<Hearsay>& hearsay) {
+void PlatformEdge::send_gossip(std::uint32_t peer, const std::vector<Hearsay>& hearsay) {
   if (!datagrams_ || peer >= config_.peers.size()) return;
   std::vector<Hearsay> common;
   for (const Hearsay& each : hearsay) {
@@ -262,14 +262,14 @@
           kMostMessage) {
     return "too large to be passed on";
   }
-  const CallId id = desk_.next_call();
+  const CallId id = desk_.next_call_id();
   ids_[setup.id] = id;
   Call& call = calls_[id];
   call.id = setup.id;
   call.service_class = std::move(setup.service_class);
   call.number = std::move(setup.number);
   call.description = std::move(setup.description);
-  edge::Offer out;
+  edge::CallRequest out;
   out.call_class = static_cast<std::uint32_t>(place - config_.classes.begin());
   out.key = setup.key;
   out.ttl_s = setup.left_s;
@@ -423,7 +423,7 @@
 void PlatformEdge::core_stood(const Attempt& who, std::string description, const Report& report) {
   const auto found = calls_.find(who.call);
   if (found != calls_.end()) found->second.answer = std::move(description);
-  desk_.stood(who.call, who.attempt, report, loop_.now());
+  desk_.on_established(who.call, who.attempt, report, loop_.now());
 }
 
 void PlatformEdge::core_ended(const Attempt& who, Outcome outcome, Cause cause, double waited_s,
@@ -435,23 +435,23 @@
                {"attempt", std::to_string(who.attempt)},
                {"detail", name(outcome)}});
   }
-  desk_.ended(who.call, who.attempt, outcome, cause, waited_s, report, loop_.now());
+  desk_.on_ended(who.call, who.attempt, outcome, cause, waited_s, report, loop_.now());
 }
 
 void PlatformEdge::core_over(ServerId server, std::uint64_t id, bool cut, const Report& report) {
   const double now = loop_.now();
-  desk_.load(server, report, now);
+  desk_.update_load(server, report, now);
   log_event(info, "core_over",
             {{"call", hex_id(id)}, {"peer", identity(server)}, {"detail", cut ? "cut" : "ended"}});
   const int cause = cut ? kCauseTemporaryFailure : kCauseNormal;
   const auto found = ids_.find(id);
   if (found != ids_.end()) {
     Call& call = calls_.at(found->second);
-    if (call.server == 0 && !cut) return desk_.ran_elsewhere(found->second, now);
+    if (call.server == 0 && !cut) return desk_.on_earlier_attempt_ended(found->second, now);
     if (call.server != server) return;  // a second copy of what an earlier attempt met
     call.end_cause = cause;
     // The attempt's number is not needed where a call stands: there is one.
-    desk_.ended_standing(found->second, cut ? Outcome::kReset : Outcome::kEnded, report, now);
+    desk_.on_established_call_ended(found->second, cut ? Outcome::kReset : Outcome::kEnded, report, now);
     return;
   }
   const auto taken = taken_over_.find(id);
@@ -467,14 +467,16 @@
 }
 
 void PlatformEdge::core_load(ServerId server, const Report& report) {
-  desk_.load(server, report, loop_.now());
+  desk_.update_load(server, report, loop_.now());
 }
 
 void PlatformEdge::core_fault(ServerId server, const char* what) {
   log_event(warn, "core_fault", {{"peer", identity(server)}, {"detail", what}});
 }
 
-void PlatformEdge::core_run_over(const Attempt& who) { desk_.ran_elsewhere(who.call, loop_.now()); }
+void PlatformEdge::core_run_over(const Attempt& who) {
+  desk_.on_earlier_attempt_ended(who.call, loop_.now());
+}
 
 void PlatformEdge::core_gone(ServerId server, const char* why, std::size_t standing) {
   log_event(warn, "core_gone",
@@ -553,12 +555,13 @@
   const double wall = net::wall_now();
   const ServerList moved = book_.retire_moved(event.news);
   if (!book_.take(event.news)) return;
-  if (!moved.entries.empty()) desk_.list(moved, now);
+  if (!moved.entries.empty()) desk_.update_servers(moved, now);
   // Told to the Controller first: what is drained must be known before anything that waits is looked at
   // again.
-  desk_.list(book_.event(event.news, event.news.full ? ServerList::Mode::kFull : ServerList::Mode::kDelta,
-                         now, wall),
-             now);
+  desk_.update_servers(
+      book_.event(event.news, event.news.full ? ServerList::Mode::kFull : ServerList::Mode::kDelta, now,
+                  wall),
+      now);
   std::size_t alive = 0;
   for (const auto& [id, entry] : book_.entries()) alive += entry.state != ServerEntry::State::kGone;
   for (const auto& [id, entry] : book_.entries()) {
@@ -610,12 +613,12 @@
 // What this proxy believes, to be held against what its core servers and callers saw.
 void PlatformEdge::tell_state() {
   constexpr double kEvery = 10.0;  // s
-  const edge::DeskCounts& d = desk_.counts();
+  const edge::CallCounters& d = desk_.counters();
   const CallerCounts& c = callers_.counts();
   const auto text = [](std::uint64_t value) { return std::to_string(value); };
   log_event(info, "state",
             {{"offered", text(d.offered)},
-             {"stood", text(d.stood)},
+             {"stood", text(d.established)},
              {"refused", text(d.refused)},
              {"failed", text(d.failed)},
              {"abandoned", text(d.abandoned)},
@@ -624,8 +627,8 @@
              {"timed_out", text(d.timed_out)},
              {"cancelled", text(d.cancelled)},
              {"ended", text(d.ended + d.cut)},
-             {"open", text(desk_.open())},
-             {"standing", text(desk_.standing())},
+             {"open", text(desk_.pending())},
+             {"standing", text(desk_.established())},
              {"taken_over", text(taken_over_.size())},
              {"callers", text(callers_.connections())},
              {"caller_faults", text(c.faults)},
@@ -662,7 +665,7 @@
     }
   }
   if (news.hearsay.empty()) return;
-  desk_.peer_news(news, loop_.now());
+  desk_.on_peer_news(news, loop_.now());
   watch();
 }
 
@@ -697,7 +700,7 @@
   for (const auto& each : config_.instance.settings.classes) longest = std::max(longest, each.deadline_s);
   serve_until_ = loop_.now() + kServeOn;
   drain_until_ = std::max(serve_until_, loop_.now() + std::min(kLongestEnd, longest) + kEndsSooner);
-  log_event(info, "draining", {{"open", std::to_string(desk_.open())}});
+  log_event(info, "draining", {{"open", std::to_string(desk_.pending())}});
   drained();
 }
 
@@ -715,7 +718,7 @@
     callers_.tick(now);
   }
   if (now >= drain_until_) {
-    desk_.answer_all(now);
+    desk_.answer_pending_calls(now);
     callers_.close_all();
   }
   std::size_t owed = 0;
@@ -727,7 +730,7 @@
   if (done || now >= drain_until_ + kLastBytes) {
     loop_.timers().cancel(state_timer_);
     tell_state();
-    log_event(info, "stopped", {{"standing", std::to_string(desk_.standing())}});
+    log_event(info, "stopped", {{"standing", std::to_string(desk_.established())}});
     return loop_.stop();
   }
   watch();
--- a/src/platform/platform_edge.hpp
+++ b/src/platform/platform_edge.hpp
@@ -10,7 +10,7 @@
 #include <unordered_map>
 #include <vector>
 
-#include "edge/call_desk.hpp"
+#include "edge/call_manager.hpp"
 #include "list/client.hpp"
 #include "list/event_order.hpp"
 #include "list/pool_list.hpp"
@@ -29,7 +29,7 @@
   std::size_t for_server(std::size_t servers) const;
 };
 
-class PlatformEdge : public edge::DeskPorts, public CallerPorts, public CorePorts {
+class PlatformEdge : public edge::CallManagerDelegate, public CallerPorts, public CorePorts {
  public:
   PlatformEdge(net::Loop& loop, Config config, std::string config_file);
   ~PlatformEdge() override;
@@ -40,7 +40,7 @@
 
   net::Address listening() const { return listener_->local(); }
   const CallerSide& callers() const { return callers_; }
-  const edge::CallDesk& desk() const { return desk_; }
+  const edge::CallManager& desk() const { return desk_; }
   const CoreCounts& core_counts() const { return core_counts_; }
   std::size_t servers() const { return cores_.size(); }
   std::size_t calls() const { return calls_.size(); }
@@ -66,15 +66,15 @@
     std::shared_ptr<net::Stream> stream;
   };
 
-  // ---- DeskPorts ----
-  void answer(CallId call, const edge::Verdict& verdict) override;
+  // ---- CallManagerDelegate ----
+  void answer(CallId call, const edge::SetupResult& result) override;
   void cut(CallId call) override;
-  edge::Handover send_setup(CallId call, std::uint32_t attempt, ServerId server,
-                            double give_up_after_s) override;
+  edge::SendResult send_setup(CallId call, std::uint32_t attempt, ServerId server,
+                              double give_up_after_s) override;
   void release(CallId call, std::uint32_t attempt, ServerId server) override;
   void forget(CallId call) override;
   void subscribe() override {}  // the event bus is read from the start
-  void tell_peer(std::uint32_t peer, const std::vector<Hearsay>& hearsay) override;
+  void send_gossip(std::uint32_t peer, const std::vector<Hearsay>& hearsay) override;
   void log(const std::string& text) override;
 
   // ---- CallerPorts ----
@@ -125,7 +125,7 @@
   Config config_;
   std::string config_file_;
   DescriptorBudget budget_;
-  edge::CallDesk desk_;
+  edge::CallManager desk_;
   CallerSide callers_;
   list::Book book_;
   list::EventOrder order_;
--- a/tests/edge/call_desk_test.cpp
+++ b/tests/edge/call_manager_test.cpp
@@ -1,5 +1,5 @@
 // The desk against a scripted core side and front, at virtual times.
-#include "edge/call_desk.hpp"
+#include "edge/call_manager.hpp"
 
 #include <gtest/gtest.h>
 
@@ -19,19 +19,19 @@
   ServerId server;
 };
 
-struct World : DeskPorts {
-  void answer(CallId call, const Verdict& verdict) override { answers[call].push_back(verdict); }
+struct World : CallManagerDelegate {
+  void answer(CallId call, const SetupResult& result) override { answers[call].push_back(result); }
   void cut(CallId call) override { cuts.push_back(call); }
-  Handover send_setup(CallId call, std::uint32_t attempt, ServerId server, double) override {
-    if (handover == Handover::kTaken) sent.push_back({call, attempt, server});
-    return handover;
+  SendResult send_setup(CallId call, std::uint32_t attempt, ServerId server, double) override {
+    if (send_result == SendResult::kAccepted) sent.push_back({call, attempt, server});
+    return send_result;
   }
   void release(CallId call, std::uint32_t attempt, ServerId server) override {
     released.push_back({call, attempt, server});
   }
   void forget(CallId call) override { forgotten.insert(call); }
   void subscribe() override { subscribed += 1; }
-  void tell_peer(std::uint32_t, const std::vector<Hearsay>&) override {}
+  void send_gossip(std::uint32_t, const std::vector<Hearsay>&) override {}
   void log(const std::string&) override {}
 
   World(std::uint32_t max_calls = 1000, Effect effect = Effect::kRepeatable) {
@@ -45,8 +45,8 @@
     settings.max_retry_after_s = 2;
     settings.gives_retry_after = true;
     settings.asks_for_list = true;
-    desk = std::make_unique<CallDesk>(settings, 1, max_calls, *this);
-    desk->start(0);
+    manager = std::make_unique<CallManager>(settings, 1, max_calls, *this);
+    manager->start(0);
   }
   void servers(std::vector<ServerEntry::State> states, double now) {
     ServerList list;
@@ -57,26 +57,26 @@
       entry.state = states[i];
       list.entries.push_back(entry);
     }
-    desk->list(list, now);
+    manager->update_servers(list, now);
   }
   CallId offer(double now, double ttl = 3) {
-    const CallId id = desk->next_call();
-    Offer o;
+    const CallId id = manager->next_call_id();
+    CallRequest o;
     o.ttl_s = ttl;
     o.first_choice = 0;
-    desk->offer(id, o, now);
+    manager->offer(id, o, now);
     return id;
   }
   // Every timer at its time, until then.
   void until(double end) {
-    while (desk->deadline() <= end) desk->tick(desk->deadline());
-    desk->tick(end);
+    while (manager->deadline() <= end) manager->tick(manager->deadline());
+    manager->tick(end);
   }
 
-  std::unique_ptr<CallDesk> desk;
-  Handover handover = Handover::kTaken;
+  std::unique_ptr<CallManager> manager;
+  SendResult send_result = SendResult::kAccepted;
   std::vector<Sent> sent, released;
-  std::map<CallId, std::vector<Verdict>> answers;
+  std::map<CallId, std::vector<SetupResult>> answers;
   std::vector<CallId> cuts;
   std::set<CallId> forgotten;
   int subscribed = 0;
@@ -85,35 +85,35 @@
 constexpr auto kReady = ServerEntry::State::kReady;
 constexpr auto kDraining = ServerEntry::State::kDraining;
 
-TEST(CallDesk, ACallStandsAndEnds) {
+TEST(CallManager, ACallStandsAndEnds) {
   World w;
   EXPECT_EQ(w.subscribed, 1);
   w.servers({kReady}, 0);
   const CallId id = w.offer(1);
   ASSERT_EQ(w.sent.size(), 1u);
-  w.desk->stood(id, 0, {}, 1.1);
+  w.manager->on_established(id, 0, {}, 1.1);
   ASSERT_EQ(w.answers[id].size(), 1u);
-  EXPECT_EQ(w.answers[id][0].kind, Verdict::Kind::kStands);
-  EXPECT_EQ(w.desk->standing(), 1u);
-  EXPECT_TRUE(w.desk->hang_up(id, 5));
+  EXPECT_EQ(w.answers[id][0].kind, SetupResult::Kind::kEstablished);
+  EXPECT_EQ(w.manager->established(), 1u);
+  EXPECT_TRUE(w.manager->hang_up(id, 5));
   ASSERT_EQ(w.released.size(), 1u);
   EXPECT_TRUE(w.forgotten.count(id));
-  EXPECT_EQ(w.desk->standing(), 0u);
-  EXPECT_FALSE(w.desk->hang_up(id, 6));
+  EXPECT_EQ(w.manager->established(), 0u);
+  EXPECT_FALSE(w.manager->hang_up(id, 6));
 }
 
 // The core server tells the end of a call whose answer is late or lost: over at once, and not set up again.
-TEST(CallDesk, ACallThatEndsBeforeItsAnswerHasFailedAndIsNotSetUpAgain) {
+TEST(CallManager, ACallThatEndsBeforeItsAnswerHasFailedAndIsNotSetUpAgain) {
   World w;
   w.servers({kReady, kReady}, 0);
   const CallId id = w.offer(1, 8);
   ASSERT_EQ(w.sent.size(), 1u);
-  w.desk->ended(id, 0, Outcome::kEnded, Cause::kNone, 0, {}, 2);
+  w.manager->on_ended(id, 0, Outcome::kEnded, Cause::kNone, 0, {}, 2);
   ASSERT_EQ(w.answers[id].size(), 1u);
-  EXPECT_EQ(w.answers[id][0].kind, Verdict::Kind::kFailed);
+  EXPECT_EQ(w.answers[id][0].kind, SetupResult::Kind::kFailed);
   EXPECT_TRUE(w.released.empty()) << "nothing is held there";
   EXPECT_TRUE(w.forgotten.count(id));
-  w.desk->stood(id, 0, {}, 3);  // the late answer
+  w.manager->on_established(id, 0, {}, 3);  // the late answer
   w.until(20);
   EXPECT_EQ(w.sent.size(), 1u);
   EXPECT_EQ(w.answers[id].size(), 1u);
@@ -121,56 +121,56 @@
 
 // The end is told over another connection, after the attempt was taken for lost and while the next one is
 // out.
-TEST(CallDesk, ACallThatRanAtAnEarlierAttemptHasFailedAndItsOtherAttemptIsReleased) {
+TEST(CallManager, ACallThatRanAtAnEarlierAttemptHasFailedAndItsOtherAttemptIsReleased) {
   World w;
   w.servers({kReady, kReady}, 0);
   const CallId id = w.offer(1, 8);
-  w.desk->ended(id, 0, Outcome::kReset, Cause::kNone, 0, {}, 1.2);
+  w.manager->on_ended(id, 0, Outcome::kReset, Cause::kNone, 0, {}, 1.2);
   w.until(2);
   ASSERT_EQ(w.sent.size(), 2u);
-  w.desk->ran_elsewhere(id, 2.1);
+  w.manager->on_earlier_attempt_ended(id, 2.1);
   ASSERT_EQ(w.answers[id].size(), 1u);
-  EXPECT_EQ(w.answers[id][0].kind, Verdict::Kind::kFailed);
+  EXPECT_EQ(w.answers[id][0].kind, SetupResult::Kind::kFailed);
   ASSERT_EQ(w.released.size(), 1u);
   EXPECT_EQ(w.released[0].attempt, 1u);
   const CallId other = w.offer(3, 3);
-  w.desk->stood(other, 0, {}, 3.1);
-  w.desk->ran_elsewhere(other, 3.2);
-  EXPECT_EQ(w.desk->standing(), 1u) << "what stands, stands";
+  w.manager->on_established(other, 0, {}, 3.1);
+  w.manager->on_earlier_attempt_ended(other, 3.2);
+  EXPECT_EQ(w.manager->established(), 1u) << "what stands, stands";
 }
 
 // A core server that takes set-ups and never answers.
-TEST(CallDesk, AnAttemptWithoutAnswerIsReleasedAndTheCallAnsweredInTime) {
+TEST(CallManager, AnAttemptWithoutAnswerIsReleasedAndTheCallAnsweredInTime) {
   World w;
   w.servers({kReady}, 0);
   const CallId id = w.offer(1, 2);
   w.until(2.999);
   ASSERT_EQ(w.answers[id].size(), 1u) << "before the caller's end";
-  EXPECT_NE(w.answers[id][0].kind, Verdict::Kind::kStands);
+  EXPECT_NE(w.answers[id][0].kind, SetupResult::Kind::kEstablished);
   ASSERT_EQ(w.released.size(), 1u);
-  EXPECT_EQ(w.desk->counts().overdue, 0u);
-  EXPECT_EQ(w.desk->counts().timed_out, 1u);
+  EXPECT_EQ(w.manager->counters().overdue, 0u);
+  EXPECT_EQ(w.manager->counters().timed_out, 1u);
 }
 
-TEST(CallDesk, AnAnswerAfterTheTimeOutAndOneThatComesTwiceChangeNothing) {
+TEST(CallManager, AnAnswerAfterTheTimeOutAndOneThatComesTwiceChangeNothing) {
   World w;
   w.servers({kReady}, 0);
   const CallId late = w.offer(1, 2);
   w.until(3);
-  w.desk->stood(late, 0, {}, 3.1);
+  w.manager->on_established(late, 0, {}, 3.1);
   EXPECT_EQ(w.answers[late].size(), 1u);
-  EXPECT_EQ(w.desk->counts().late, 1u);
+  EXPECT_EQ(w.manager->counters().late_answers, 1u);
   World v;
   v.servers({kReady}, 0);
   const CallId twice = v.offer(4);
-  v.desk->stood(twice, 0, {}, 4.1);
-  v.desk->stood(twice, 0, {}, 4.2);
+  v.manager->on_established(twice, 0, {}, 4.1);
+  v.manager->on_established(twice, 0, {}, 4.2);
   EXPECT_EQ(v.answers[twice].size(), 1u);
-  EXPECT_EQ(v.desk->standing(), 1u);
+  EXPECT_EQ(v.manager->established(), 1u);
 }
 
 // A drain and a time-out in one turn of the loop: whichever is told first, the next attempt goes elsewhere.
-TEST(CallDesk, ADrainAndAResetInOneTurnLeaveNothingForTheDrainingServer) {
+TEST(CallManager, ADrainAndAResetInOneTurnLeaveNothingForTheDrainingServer) {
   for (const bool drain_first : {true, false}) {
     World w;
     w.servers({kReady, kReady}, 0);
@@ -178,7 +178,7 @@
     ASSERT_EQ(w.sent.size(), 1u);
     EXPECT_EQ(w.sent[0].server, 1u);
     if (drain_first) w.servers({kDraining, kReady}, 1.2);
-    w.desk->ended(id, 0, Outcome::kReset, Cause::kNone, 0, {}, 1.2);
+    w.manager->on_ended(id, 0, Outcome::kReset, Cause::kNone, 0, {}, 1.2);
     if (!drain_first) w.servers({kDraining, kReady}, 1.2);
     w.until(2);
     ASSERT_EQ(w.sent.size(), 2u);
@@ -186,11 +186,11 @@
   }
 }
 
-TEST(CallDesk, TheReleaseWaitIsKept) {
+TEST(CallManager, TheReleaseWaitIsKept) {
   World w;
   w.servers({kReady, kReady}, 0);
   const CallId id = w.offer(1);
-  w.desk->ended(id, 0, Outcome::kReset, Cause::kNone, 0, {}, 1.2);
+  w.manager->on_ended(id, 0, Outcome::kReset, Cause::kNone, 0, {}, 1.2);
   w.until(1.7);
   EXPECT_EQ(w.sent.size(), 1u);
   w.until(1.71);
@@ -198,93 +198,93 @@
 }
 
 // An attempt that fails before `send_setup` returns must not be told from inside the decision that made it.
-TEST(CallDesk, NoWayToAnyServerEndsInOneRefusal) {
+TEST(CallManager, NoWayToAnyServerEndsInOneRefusal) {
   World w;
-  w.handover = Handover::kNoWay;
+  w.send_result = SendResult::kNoConnection;
   w.servers({kReady, kReady, kReady}, 0);
   const CallId id = w.offer(1);
   w.until(4);
   ASSERT_EQ(w.answers[id].size(), 1u);
-  EXPECT_EQ(w.answers[id][0].kind, Verdict::Kind::kRefused);
-  EXPECT_EQ(w.desk->open(), 0u);
+  EXPECT_EQ(w.answers[id][0].kind, SetupResult::Kind::kRefused);
+  EXPECT_EQ(w.manager->pending(), 0u);
   EXPECT_TRUE(w.released.empty()) << "nothing ran";
 }
 
-TEST(CallDesk, AFullTableRefusesAtOnceWithARetryAfter) {
+TEST(CallManager, AFullTableRefusesAtOnceWithARetryAfter) {
   World w(10);
   w.servers({kReady}, 0);
   for (int i = 0; i < 10; ++i) {
     const CallId id = w.offer(1 + i);
-    w.desk->stood(id, 0, {}, 1.01 + i);
+    w.manager->on_established(id, 0, {}, 1.01 + i);
   }
   const CallId over = w.offer(20);
   ASSERT_EQ(w.answers[over].size(), 1u);
-  EXPECT_EQ(w.answers[over][0].kind, Verdict::Kind::kRefused);
+  EXPECT_EQ(w.answers[over][0].kind, SetupResult::Kind::kRefused);
   EXPECT_EQ(w.answers[over][0].retry_after_s, 2);
   EXPECT_TRUE(w.forgotten.count(over));
-  EXPECT_EQ(w.desk->counts().turned_away, 1u);
+  EXPECT_EQ(w.manager->counters().turned_away, 1u);
 }
 
 // RFC 3539 counts what comes in REOPEN for nothing; the caller is told so at once, and when to come back.
-TEST(CallDesk, ACallOverAConnectionOnTrialIsRefusedWithARetryAfter) {
+TEST(CallManager, ACallOverAConnectionOnTrialIsRefusedWithARetryAfter) {
   World w;
   w.servers({kReady}, 0);
-  const CallId id = w.desk->next_call();
-  Offer o;
+  const CallId id = w.manager->next_call_id();
+  CallRequest o;
   o.ttl_s = 3;
-  o.peer_on_trial = true;
-  w.desk->offer(id, o, 1);
+  o.peer_reopening = true;
+  w.manager->offer(id, o, 1);
   ASSERT_EQ(w.answers[id].size(), 1u);
-  EXPECT_EQ(w.answers[id][0].kind, Verdict::Kind::kRefused);
+  EXPECT_EQ(w.answers[id][0].kind, SetupResult::Kind::kRefused);
   EXPECT_EQ(w.answers[id][0].retry_after_s, 2);
   EXPECT_TRUE(w.sent.empty());
 }
 
-TEST(CallDesk, DrainingRefusesNewCallsAndKeepsTheOpenOnes) {
+TEST(CallManager, DrainingRefusesNewCallsAndKeepsTheOpenOnes) {
   World w;
   w.servers({kReady}, 0);
   const CallId open = w.offer(1);
-  w.desk->drain();
+  w.manager->drain();
   const CallId later = w.offer(1.1);
-  EXPECT_EQ(w.answers[later][0].kind, Verdict::Kind::kRefused);
-  w.desk->stood(open, 0, {}, 1.2);
-  EXPECT_EQ(w.answers[open][0].kind, Verdict::Kind::kStands);
+  EXPECT_EQ(w.answers[later][0].kind, SetupResult::Kind::kRefused);
+  w.manager->on_established(open, 0, {}, 1.2);
+  EXPECT_EQ(w.answers[open][0].kind, SetupResult::Kind::kEstablished);
 }
 
-TEST(CallDesk, ACallThatMayRunOnceIsFailedAfterAnAttemptInDoubt) {
+TEST(CallManager, ACallThatMayRunOnceIsFailedAfterAnAttemptInDoubt) {
   World w(1000, Effect::kOnce);
   w.servers({kReady, kReady}, 0);
   const CallId id = w.offer(1);
-  w.desk->ended(id, 0, Outcome::kReset, Cause::kNone, 0, {}, 1.2);
+  w.manager->on_ended(id, 0, Outcome::kReset, Cause::kNone, 0, {}, 1.2);
   w.until(4);
   EXPECT_EQ(w.sent.size(), 1u);
   ASSERT_EQ(w.answers[id].size(), 1u);
-  EXPECT_EQ(w.answers[id][0].kind, Verdict::Kind::kFailed);
+  EXPECT_EQ(w.answers[id][0].kind, SetupResult::Kind::kFailed);
 }
 
-TEST(CallDesk, ACallerThatLeavesFreesItsAttempt) {
+TEST(CallManager, ACallerThatLeavesFreesItsAttempt) {
   World w;
   w.servers({kReady}, 0);
   const CallId id = w.offer(1);
-  EXPECT_TRUE(w.desk->hang_up(id, 1.1));
+  EXPECT_TRUE(w.manager->hang_up(id, 1.1));
   ASSERT_EQ(w.released.size(), 1u);
   EXPECT_TRUE(w.answers[id].empty()) << "the front has answered by itself, or has nobody to tell";
-  EXPECT_EQ(w.desk->open(), 0u);
+  EXPECT_EQ(w.manager->pending(), 0u);
 }
 
-TEST(CallDesk, ACutIsToldOnce) {
+TEST(CallManager, ACutIsToldOnce) {
   World w;
   w.servers({kReady}, 0);
   const CallId id = w.offer(1);
-  w.desk->stood(id, 0, {}, 1.1);
-  w.desk->ended(id, 0, Outcome::kReset, Cause::kNone, 0, {}, 2);
-  w.desk->ended(id, 0, Outcome::kReset, Cause::kNone, 0, {}, 2);
+  w.manager->on_established(id, 0, {}, 1.1);
+  w.manager->on_ended(id, 0, Outcome::kReset, Cause::kNone, 0, {}, 2);
+  w.manager->on_ended(id, 0, Outcome::kReset, Cause::kNone, 0, {}, 2);
   EXPECT_EQ(w.cuts, std::vector<CallId>{id});
-  EXPECT_FALSE(w.desk->hang_up(id, 3));
+  EXPECT_FALSE(w.manager->hang_up(id, 3));
 }
 
 // Whatever comes, in any order: one answer each, one attempt at a time, nothing left behind.
-TEST(CallDesk, RandomEventsKeepTheAccount) {
+TEST(CallManager, RandomEventsKeepTheAccount) {
   for (std::uint64_t seed = 0; seed < 60; ++seed) {
     std::mt19937_64 random(seed);
     World w(40);
@@ -314,12 +314,12 @@
         case 0:
         case 1:
         case 2:
-          w.handover = random() % 10 == 0 ? Handover::kNoWay : Handover::kTaken;
+          w.send_result = random() % 10 == 0 ? SendResult::kNoConnection : SendResult::kAccepted;
           all.push_back(w.offer(now, 0.2 + static_cast<double>(random() % 30) / 10));
           break;
         case 3:
         case 4:
-          if (out[some].second) w.desk->stood(some, out[some].first, {}, now);
+          if (out[some].second) w.manager->on_established(some, out[some].first, {}, now);
           out[some].second = false;
           break;
         case 5:
@@ -327,11 +327,11 @@
             const Outcome kinds[] = {Outcome::kFull, Outcome::kReset, Outcome::kError,
                                      Outcome::kConnectFailed};
             out[some].second = false;
-            w.desk->ended(some, out[some].first, kinds[random() % 4], Cause::kNone, 0, {}, now);
+            w.manager->on_ended(some, out[some].first, kinds[random() % 4], Cause::kNone, 0, {}, now);
           }
           break;
         case 6:
-          w.desk->hang_up(some, now);
+          w.manager->hang_up(some, now);
           break;
         default:
           w.servers({random() % 4 == 0 ? kDraining : kReady, kReady, random() % 4 == 0 ? kDraining : kReady},
@@ -340,33 +340,33 @@
       look();
     }
     w.until(now + 10);
-    const auto counts = w.desk->counts();
-    EXPECT_EQ(w.desk->open(), 0u);
+    const auto counts = w.manager->counters();
+    EXPECT_EQ(w.manager->pending(), 0u);
     EXPECT_EQ(counts.overdue, 0u);
-    EXPECT_EQ(counts.offered, counts.stood + counts.refused + counts.failed + counts.abandoned);
+    EXPECT_EQ(counts.offered, counts.established + counts.refused + counts.failed + counts.abandoned);
     for (const auto& [id, answers] : w.answers) EXPECT_LE(answers.size(), 1u);
-    EXPECT_LE(w.desk->timers(), 3u) << "nothing piles up";
+    EXPECT_LE(w.manager->timers(), 3u) << "nothing piles up";
   }
 }
 
 // The process ends: every call that waits gets its one answer, whatever it waits for; what stands is left.
-TEST(CallDesk, TheEndOfTheProcessAnswersAllThatWaits) {
+TEST(CallManager, TheEndOfTheProcessAnswersAllThatWaits) {
   World w;
   w.servers({ServerEntry::State::kReady}, 0);
-  Offer offer;
+  CallRequest offer;
   offer.ttl_s = 9;
-  for (CallId call = 1; call <= 6; ++call) w.desk->offer(w.desk->next_call(), offer, 0.1);
+  for (CallId call = 1; call <= 6; ++call) w.manager->offer(w.manager->next_call_id(), offer, 0.1);
   ASSERT_GE(w.sent.size(), 2u);
   const Sent first = w.sent.front();
-  w.desk->stood(first.call, first.attempt, {}, 0.101);
+  w.manager->on_established(first.call, first.attempt, {}, 0.101);
   const std::size_t out = w.sent.size() - 1;
   const std::size_t released = w.released.size();
-  w.desk->answer_all(0.102);
-  EXPECT_EQ(w.desk->open(), 0u);
-  EXPECT_EQ(w.desk->standing(), 1u);
+  w.manager->answer_pending_calls(0.102);
+  EXPECT_EQ(w.manager->pending(), 0u);
+  EXPECT_EQ(w.manager->established(), 1u);
   EXPECT_EQ(w.released.size(), released + out) << "what is out is let go";
   for (CallId call = 1; call <= 6; ++call) ASSERT_EQ(w.answers[call].size(), 1u) << call;
-  w.desk->tick(100);
+  w.manager->tick(100);
   for (CallId call = 1; call <= 6; ++call) EXPECT_EQ(w.answers[call].size(), 1u) << call;
 }
 
--- a/tests/platform/platform_edge_test.cpp
+++ b/tests/platform/platform_edge_test.cpp
@@ -219,7 +219,7 @@
   ASSERT_TRUE(stage.until([&] { return caller.count(12) == 1; }));
   EXPECT_EQ(caller.got[1].cause, 16);
   EXPECT_EQ(stage.edge->calls(), 0u);
-  EXPECT_EQ(stage.edge->desk().standing(), 0u);
+  EXPECT_EQ(stage.edge->desk().established(), 0u);
 }
 
 TEST(PlatformEdge, ACallerThatReleasesEndsItAtTheCoreServer) {
@@ -512,7 +512,7 @@
     ASSERT_LT(id, 20000u);
     caller.setup(id);
     ASSERT_TRUE(stage.until(
-        [&] { return stage.edge->callers().open() == 0 && stage.edge->desk().counts().offered == id; }));
+        [&] { return stage.edge->callers().open() == 0 && stage.edge->desk().counters().offered == id; }));
     if (id % 10 != 0 || standing.empty()) continue;
     const std::string over = *standing.begin();
     standing.erase(standing.begin());
@@ -522,14 +522,14 @@
       break;
     }
     ends += 1;
-    ASSERT_TRUE(stage.until([&] { return stage.edge->desk().counts().cut == ends; }));
+    ASSERT_TRUE(stage.until([&] { return stage.edge->desk().counters().cut == ends; }));
   }
-  const edge::DeskCounts& counts = stage.edge->desk().counts();
+  const edge::CallCounters& counts = stage.edge->desk().counters();
   ASSERT_TRUE(stage.until([&] { return caller.got.size() == calls + ends; }));
   EXPECT_EQ(counts.attempts, stage.core.count("setup"));
-  EXPECT_EQ(counts.stood, caller.count(9));
+  EXPECT_EQ(counts.established, caller.count(9));
   EXPECT_EQ(counts.refused + counts.failed + ends, caller.count(12));
-  EXPECT_EQ(stage.edge->desk().standing(), standing.size());
+  EXPECT_EQ(stage.edge->desk().established(), standing.size());
   EXPECT_GT(counts.refused, 0u);
   EXPECT_GT(stage.edge->core_counts().spoilt, 0u);
   EXPECT_GT(stage.edge->core_counts().doubled, 0u);
@@ -550,7 +550,7 @@
     ASSERT_TRUE(stage.until([&] { return stage.edge->calls() == 0; }));
   }
   EXPECT_TRUE(stage.until([&] { return stage.edge->callers().connections() == 0; }));
-  EXPECT_EQ(stage.edge->desk().open(), 0u);
+  EXPECT_EQ(stage.edge->desk().pending(), 0u);
 }
 
 // ---- The list: what is missing is asked for again, and nothing behind it is believed ----
@@ -812,7 +812,7 @@
     if (way == 2) {
       for (std::uint64_t id = 1; id <= 4; ++id) caller.stream->write(write_release(id, 16));
     }
-    ASSERT_TRUE(stage.until([&] { return stage.edge->desk().open() == 0; })) << way;
+    ASSERT_TRUE(stage.until([&] { return stage.edge->desk().pending() == 0; })) << way;
     EXPECT_LE(stage.core.count("setup"), sent) << way;
     EXPECT_TRUE(stage.until([&] { return stage.core.count("release") == sent; })) << "let go " << way;
     EXPECT_EQ(stage.edge->calls(), 0u);
