--- a/src/edge/config.cpp
+++ b/src/edge/config.cpp
@@ -61,10 +61,10 @@
   from.read("realm", realm);
   from.require("action");
   from.read_choice("action", {"local", "refuse"}, action);
-  const auto what = action == 0 ? Realms::Action::kLocal : Realms::Action::kRefuse;
+  const auto what = action == 0 ? RealmTable::Action::kLocal : RealmTable::Action::kRefuse;
   if (realm == "*") {
     out.other_realms = what;
-  } else if (!out.realms.emplace(Realms::folded(realm), what).second) {
+  } else if (!out.realms.emplace(RealmTable::case_folded(realm), what).second) {
     from.fail("realm", realm + " stands twice");
   }
 }
@@ -155,7 +155,7 @@
   choices.emplace_back("refuse");
   std::size_t unknown = names.size();
   top.read_choice("unknown_class", choices, unknown);
-  if (unknown < names.size()) out.classes.unknown = static_cast<std::uint32_t>(unknown);
+  if (unknown < names.size()) out.classes.fallback = static_cast<std::uint32_t>(unknown);
   top.sections("realms", [&](config::Section& from) { read_realm(from, out); });
   top.section("rules", [&](config::Section& from) { read_rules(from, s); });
   s.gives_retry_after = s.max_retry_after_s > 0;
@@ -190,7 +190,7 @@
                     a.core.connect_s == b.core.connect_s && a.core.session_hold_s == b.core.session_hold_s &&
                     a.core.linger_s == b.core.linger_s && a.core.max_unsent == b.core.max_unsent);
   fixed("realms", a.realms == b.realms && a.other_realms == b.other_realms);
-  fixed("unknown_class", a.classes.unknown == b.classes.unknown);
+  fixed("unknown_class", a.classes.fallback == b.classes.fallback);
   fixed("callers", a.callers.end_wait_s == b.callers.end_wait_s &&
                        a.callers.duplicates_s == b.callers.duplicates_s &&
                        a.callers.max_duplicates == b.callers.max_duplicates);
--- a/src/edge/config.hpp
+++ b/src/edge/config.hpp
@@ -73,8 +73,8 @@
   std::uint32_t max_message = 65536;
   std::uint64_t seed = 0;  // 0: drawn at start
   ClassTable classes;
-  std::map<std::string, Realms::Action> realms;
-  Realms::Action other_realms = Realms::Action::kRefuse;
+  std::map<std::string, RealmTable::Action> realms;
+  RealmTable::Action other_realms = RealmTable::Action::kRefuse;
   Settings settings;  // what the Controller is told
 };
 
--- a/src/edge/core_side.cpp
+++ b/src/edge/core_side.cpp
@@ -23,8 +23,8 @@
 }  // namespace
 
 CoreSide::CoreSide(net::Loop& loop, const diameter::LocalNode& local, const Config& config,
-                   std::uint64_t seed, CorePorts& ports)
-    : loop_(loop), local_(local), config_(config), seed_(seed), ports_(ports) {}
+                   std::uint64_t seed, CoreSideDelegate& delegate)
+    : loop_(loop), local_(local), config_(config), seed_(seed), delegate_(delegate) {}
 
 CoreSide::~CoreSide() {
   for (auto& [id, server] : servers_) {
@@ -37,7 +37,7 @@
   return found == servers_.end() ? nullptr : found->second.get();
 }
 
-void CoreSide::update(ServerId id, const list::Entry& entry) {
+void CoreSide::update_server(ServerId id, const list::Entry& entry) {
   std::unique_ptr<Server>& slot = servers_[id];
   const bool moved = slot && slot->entry.address != entry.address && !entry.address.empty();
   if (!slot) {
@@ -48,9 +48,9 @@
   server.entry = entry;
   if (entry.state != ServerEntry::State::kReady) {
     // A set-up that waits for its connection must not go out once the connection stands (rule three).
-    end(server.sessions.drop_waiting(), Outcome::kNotSent);
-    watch(server);
-    rest(server);
+    end_attempts(server.sessions.drop_queued(), Outcome::kNotSent);
+    schedule_timer(server);
+    close_if_idle(server);
     return;
   }
   if (moved) {
@@ -75,26 +75,26 @@
   try {
     address = net::parse_address(server.entry.address);
   } catch (const std::exception& error) {
-    ports_.core_event(server.entry.identity, "bad_address", error.what());
+    delegate_.core_event(server.entry.identity, "bad_address", error.what());
     return;
   }
   PeerLink::Handlers handlers;
   handlers.up = [this, &server] { on_up(server); };
   handlers.down = [this, &server](const std::string& why) { on_down(server, why); };
   handlers.suspect = [this, &server](bool suspect) {
-    ports_.core_event(server.entry.identity, suspect ? "suspect" : "usable", "");
+    delegate_.core_event(server.entry.identity, suspect ? "suspect" : "usable", "");
   };
   handlers.message = [this, &server](const diameter::MessageView& view, bool) { on_message(server, view); };
   handlers.bad = [this, &server](const std::string& what) {
-    counts_.bad += 1;
-    ports_.core_event(server.entry.identity, "malformed", what);
+    counters_.malformed += 1;
+    delegate_.core_event(server.entry.identity, "malformed", what);
   };
   handlers.refused = [this, &server](const std::string& why) { on_refused(server, why); };
   server.link = std::make_unique<PeerLink>(loop_, local_, settings, seed_ ^ server.id, address,
                                            config_.core.max_unsent, std::move(handlers));
 }
 
-bool CoreSide::offer_connection(const std::shared_ptr<net::Stream>& stream, const diameter::MessageView& cer,
+bool CoreSide::adopt_connection(const std::shared_ptr<net::Stream>& stream, const diameter::MessageView& cer,
                                 std::string_view rest) {
   const diameter::AvpView* host = cer.find(diameter::avp::kOriginHost.code);
   for (auto& [id, server] : servers_) {
@@ -118,37 +118,39 @@
   if (peer.state() == diameter::Peer::State::kClosing) return SendResult::kNoConnection;
   // Waits for the connection, for a while: at start, and after a break, it is about to stand.
   server->link->start();
-  server->sessions.wait({call, attempt}, give_up_after_s, std::move(record), loop_.now());
-  watch(*server);
+  server->sessions.queue_setup({call, attempt}, give_up_after_s, std::move(record), loop_.now());
+  schedule_timer(*server);
   return SendResult::kAccepted;
 }
 
-void CoreSide::transmit(Server& server, CoreSessions::Attempt who, double give_up_after_s, RecordPtr record) {
+void CoreSide::transmit(Server& server, CoreSessions::Attempt attempt, double give_up_after_s,
+                        RecordPtr record) {
   const std::uint32_t hop = server.link->peer().next_hop_by_hop();
-  server.link->send(
-      write_setup(*record, server.entry.identity, hop, who.attempt > 0, give_up_after_s, config_.core.plain));
-  server.sessions.sent_setup(who, std::move(record), hop);
+  server.link->send(write_setup(*record, server.entry.identity, hop, attempt.number > 0, give_up_after_s,
+                                config_.core.plain));
+  server.sessions.on_setup_sent(attempt, std::move(record), hop);
 }
 
 bool CoreSide::release(CallId call, std::uint32_t attempt, ServerId id, RecordPtr record) {
   Server* server = find(id);
   if (server == nullptr || record == nullptr) return false;
-  const bool sent = server->sessions.over({call, attempt}, record->session_id, loop_.now());
+  const bool sent = server->sessions.end_attempt({call, attempt}, record->session_id, loop_.now());
   if (sent) send_release(*server, record);
-  watch(*server);
-  rest(*server);
+  schedule_timer(*server);
+  close_if_idle(*server);
   return sent;
 }
 
 void CoreSide::send_release(Server& server, RecordPtr record) {
-  if (!server.link || !server.link->peer().open()) return server.sessions.owe(std::move(record), loop_.now());
+  if (!server.link || !server.link->peer().open())
+    return server.sessions.queue_release(std::move(record), loop_.now());
   diameter::Peer& peer = server.link->peer();
   const std::uint32_t hop = peer.next_hop_by_hop();
   server.link->send(write_termination(*record, server.entry.identity, hop, peer.next_end_to_end()));
-  server.sessions.sent_release(std::move(record), hop, loop_.now());
+  server.sessions.on_release_sent(std::move(record), hop, loop_.now());
 }
 
-std::uint32_t CoreSide::pass_termination(const std::string& identity, const CallRecord& record) {
+std::uint32_t CoreSide::forward_termination(const std::string& identity, const CallRecord& record) {
   std::uint32_t asked = 0;
   RecordPtr shared;
   for (auto& [id, server] : servers_) {
@@ -164,83 +166,84 @@
   return asked;
 }
 
-void CoreSide::released(const std::vector<RecordPtr>& records) {
-  for (const RecordPtr& each : records) ports_.core_released(each->session_id, true);
+void CoreSide::confirm_releases(const std::vector<RecordPtr>& records) {
+  for (const RecordPtr& each : records) delegate_.core_release_confirmed(each->session_id, true);
 }
 
-void CoreSide::end(const std::vector<CoreSessions::Attempt>& attempts, Outcome outcome) {
-  for (const auto& each : attempts) ports_.core_ended(each.call, each.attempt, outcome_only(outcome));
+void CoreSide::end_attempts(const std::vector<CoreSessions::Attempt>& attempts, Outcome outcome) {
+  for (const auto& each : attempts) delegate_.core_ended(each.call, each.number, outcome_only(outcome));
 }
 
 // One timer for each server, at what its sessions wait for next.
-void CoreSide::watch(Server& server) {
+void CoreSide::schedule_timer(Server& server) {
   const double due = server.sessions.deadline();
   if (server.timer == net::TimerId() ? due > 1e15 : due == server.timer.when) return;
   loop_.timers().cancel(std::exchange(server.timer, 0));
   if (due > 1e15) return;
   server.timer = loop_.timers().at(due, [this, &server] {
     server.timer = 0;
-    const CoreSessions::Over over = server.sessions.tick(loop_.now());
-    end(over.no_connection, Outcome::kConnectFailed);
-    end(over.cut, Outcome::kReset);
-    watch(server);
-    rest(server);
+    const CoreSessions::Expired over = server.sessions.tick(loop_.now());
+    end_attempts(over.no_connection, Outcome::kConnectFailed);
+    end_attempts(over.cut, Outcome::kReset);
+    schedule_timer(server);
+    close_if_idle(server);
   });
 }
 
 // A server that the list has taken off, and that holds nothing of ours, is not called any more.
-void CoreSide::rest(Server& server) {
-  if (server.entry.state != ServerEntry::State::kGone || !server.link || server.sessions.holds()) return;
+void CoreSide::close_if_idle(Server& server) {
+  if (server.entry.state != ServerEntry::State::kGone || !server.link || server.sessions.in_use()) return;
   // Not from within the link's own callback.
   loop_.defer([this, id = server.id] {
     Server* again = find(id);
-    if (again == nullptr || again->entry.state != ServerEntry::State::kGone || again->sessions.holds())
+    if (again == nullptr || again->entry.state != ServerEntry::State::kGone || again->sessions.in_use())
       return;
     again->link->stop(diameter::DisconnectCause::kDoNotWantToTalk);
   });
 }
 
 void CoreSide::on_up(Server& server) {
-  ports_.core_event(server.entry.identity, "up", "");
+  delegate_.core_event(server.entry.identity, "up", "");
   const double now = loop_.now();
-  CoreSessions::Back back = server.sessions.back(server.link->peer().peer_origin_state(), now);
+  CoreSessions::Reconnection reconnection =
+      server.sessions.on_connected(server.link->peer().peer_origin_state(), now);
   // Before anything new goes out: a session may be set up again under its old name.
-  for (RecordPtr& each : back.releases) send_release(server, std::move(each));
-  std::vector<CoreSessions::Waiting> waiting = server.sessions.take_waiting();
-  watch(server);
-  end(back.cut, Outcome::kReset);
-  released(back.released);
-  for (CoreSessions::Waiting& each : waiting) {
+  for (RecordPtr& each : reconnection.releases_to_send) send_release(server, std::move(each));
+  std::vector<CoreSessions::QueuedSetup> waiting = server.sessions.take_queued();
+  schedule_timer(server);
+  end_attempts(reconnection.cut, Outcome::kReset);
+  confirm_releases(reconnection.obsolete_releases);
+  for (CoreSessions::QueuedSetup& each : waiting) {
     if (server.entry.state != ServerEntry::State::kReady) {
-      ports_.core_ended(each.who.call, each.who.attempt, outcome_only(Outcome::kNotSent));
+      delegate_.core_ended(each.attempt.call, each.attempt.number, outcome_only(Outcome::kNotSent));
     } else {
-      transmit(server, each.who, each.give_up_at - now, std::move(each.record));
+      transmit(server, each.attempt, each.give_up_at - now, std::move(each.record));
     }
   }
 }
 
 void CoreSide::on_down(Server& server, const std::string& why) {
-  ports_.core_event(server.entry.identity, "down", why);
-  const std::vector<CoreSessions::Attempt> over = server.sessions.lost(loop_.now());
-  watch(server);
-  if (server.sessions.holds()) {
+  delegate_.core_event(server.entry.identity, "down", why);
+  const std::vector<CoreSessions::Attempt> over = server.sessions.on_connection_lost(loop_.now());
+  schedule_timer(server);
+  if (server.sessions.in_use()) {
     // Tried at once: what stands there waits for it.
     loop_.defer([this, id = server.id] {
       Server* again = find(id);
       if (again != nullptr && again->link && !stopping_) again->link->start();
     });
   }
-  end(over, Outcome::kReset);
-  rest(server);
+  end_attempts(over, Outcome::kReset);
+  close_if_idle(server);
 }
 
 // What stands there is not cut for it: a process that takes no connections may still hold its sessions.
 void CoreSide::on_refused(Server& server, const std::string& why) {
-  const std::vector<CoreSessions::Attempt> waiting = server.sessions.drop_waiting();
-  watch(server);
-  if (!waiting.empty()) ports_.core_event(server.entry.identity, "refused", why);
-  end(waiting, Outcome::kConnectFailed);
-  rest(server);
+  const std::vector<CoreSessions::Attempt> waiting = server.sessions.drop_queued();
+  schedule_timer(server);
+  if (!waiting.empty()) delegate_.core_event(server.entry.identity, "refused", why);
+  end_attempts(waiting, Outcome::kConnectFailed);
+  close_if_idle(server);
 }
 
 void CoreSide::on_message(Server& server, const diameter::MessageView& view) {
@@ -254,46 +257,46 @@
 void CoreSide::on_answer(Server& server, const diameter::MessageView& view) {
   using Kind = CoreSessions::Answer::Kind;
   const CoreAnswer answer = read_core_answer(view);
-  const auto known = server.sessions.answered(view.header.hop_by_hop, session_of(view), answer.stands);
+  const auto known = server.sessions.on_answer(view.header.hop_by_hop, session_of(view), answer.stands);
   if (known.kind == Kind::kUnexpected) {
-    counts_.unexpected += 1;
+    counters_.unexpected += 1;
     return;
   }
   if (answer.load) server.load = *answer.load;
   switch (known.kind) {
-    case Kind::kLateAndStands:
-      counts_.late_stood += 1;
+    case Kind::kLateEstablished:
+      counters_.late_established += 1;
       send_release(server, known.record);
       [[fallthrough]];
     case Kind::kLate:
-      counts_.late += 1;
-      return ports_.core_load(server.id, answer);
-    case Kind::kOfRelease:
+      counters_.late += 1;
+      return delegate_.core_load(server.id, answer);
+    case Kind::kRelease:
       // One that can't be carried out now is no confirmation: the caller says it again.
       if (group_of(answer.result) == ResultGroup::kProtocolError ||
           group_of(answer.result) == ResultGroup::kTransient) {
         return;
       }
-      return ports_.core_released(known.record->session_id, answer.stands);
-    case Kind::kOfSetup:
-      if (const auto warning = server.answers.answered(loop_.now(), answer.result, answer.failed_avp)) {
-        ports_.core_errors(server.entry.identity, *warning);
+      return delegate_.core_release_confirmed(known.record->session_id, answer.stands);
+    case Kind::kSetup:
+      if (const auto warning = server.answers.record_answer(loop_.now(), answer.result, answer.failed_avp)) {
+        delegate_.core_errors(server.entry.identity, *warning);
       }
-      if (answer.stands) return ports_.core_stood(known.who.call, known.who.attempt, answer);
-      return ports_.core_ended(known.who.call, known.who.attempt, answer);
+      if (answer.stands) return delegate_.core_established(known.attempt.call, known.attempt.number, answer);
+      return delegate_.core_ended(known.attempt.call, known.attempt.number, answer);
     default:
       return;
   }
 }
 
 void CoreSide::on_abort(Server& server, const diameter::MessageView& view) {
-  const auto who = server.sessions.aborted(session_of(view), loop_.now());
-  if (!who) {
+  const auto attempt = server.sessions.on_abort(session_of(view), loop_.now());
+  if (!attempt) {
     server.link->send(diameter::error_answer(local_, view, diameter::kUnknownSessionId, {}, ""));
     return;
   }
   server.link->send(write_success(view, local_));
-  end({*who}, Outcome::kReset);
+  end_attempts({*attempt}, Outcome::kReset);
 }
 
 void CoreSide::stop() {
@@ -317,8 +320,8 @@
     view.state = server->link ? diameter::name(server->link->peer().state()) : "none";
     view.watchdog =
         config_.core.watchdog && server->link ? diameter::name(server->link->peer().watchdog_state()) : "off";
-    view.out = server->sessions.out();
-    view.standing = server->sessions.standing();
+    view.in_flight = server->sessions.in_flight();
+    view.established = server->sessions.established();
     view.load = server->load;
     view.answers = &server->answers;
     out.push_back(std::move(view));
--- a/src/edge/diameter_front.cpp
+++ b/src/edge/diameter_front.cpp
@@ -21,7 +21,7 @@
 
 DiameterFront::DiameterFront(
     net::Loop& loop, const diameter::LocalNode& local, const Config& config, std::uint64_t seed,
-    Switchboard& board,
+    FrontDelegate& board,
     std::function<bool(const std::shared_ptr<net::Stream>&, const MessageView&, std::string_view)>
         core_connection,
     std::function<void(const std::string&, const char*, const std::string&)> event)
@@ -238,14 +238,14 @@
         error_answer(local_, view, diameter::kUnableToComply, {}, "this session is a call already"));
     return;
   }
-  if (const auto fault = board_.refusal_of_setup(*record)) {
+  if (const auto fault = board_.validate_setup(*record)) {
     std::string bytes = error_answer(local_, view, fault->result_code, fault->failed_avp, fault->text);
     duplicates_.answered(record->origin_host, record->end_to_end, bytes);
     caller.link->send(std::move(bytes));
     return;
   }
   // Entered before the offer: the answer may come at once.
-  const CallId id = board_.next_call();
+  const CallId id = board_.next_call_id();
   open_[id] = {record, &caller, false, false};
   sessions_[record->session_id] = id;
   caller.calls.insert(id);
@@ -254,8 +254,8 @@
 
 void DiameterFront::on_end(Caller& caller, const MessageView& view) {
   const std::string session = session_of(view);
-  EndRequest again{caller.host, frame_of(view), write_success(view, local_)};
-  if (endings_.repeated(session, again)) return;
+  TerminationRequest again{caller.host, frame_of(view), write_success(view, local_)};
+  if (endings_.replace_request(session, again)) return;
   const auto found = sessions_.find(session);
   if (found != sessions_.end()) {
     const CallId id = found->second;
@@ -278,7 +278,7 @@
   }
   // Set up through another proxy, or through this one before it restarted: the caller says where it stands.
   const CallRecord record = read_setup(view, caller.host);
-  if (const auto fault = board_.refusal_of_realm(record)) {
+  if (const auto fault = board_.validate_realm(record)) {
     caller.link->send(error_answer(local_, view, fault->result_code, fault->failed_avp, fault->text));
     return;
   }
@@ -286,31 +286,31 @@
     caller.link->send(error_answer(local_, view, diameter::kTooBusy, {}, "too many ends under way"));
     return;
   }
-  if (const std::uint32_t asked = board_.pass_termination(record)) {
+  if (const std::uint32_t asked = board_.forward_termination(record)) {
     await_end(caller, std::move(again), session, asked, false);
   } else {
     caller.link->send(error_answer(local_, view, diameter::kUnknownSessionId, {}, "no such call"));
   }
 }
 
-void DiameterFront::await_end(Caller& caller, EndRequest request, const std::string& session,
+void DiameterFront::await_end(Caller& caller, TerminationRequest request, const std::string& session,
                               std::uint32_t servers, bool known) {
   if (endings_.full()) {  // its release is on its way; that it arrives can't be vouched for
     caller.link->send(std::move(request.success));
     return;
   }
-  endings_.begin(session, std::move(request), servers, known, loop_.now());
+  endings_.add(session, std::move(request), servers, known, loop_.now());
   watch_ends();
 }
 
-void DiameterFront::released(const std::string& session, bool ended) {
-  const auto over = endings_.confirmed(session, ended);
+void DiameterFront::on_release_confirmed(const std::string& session, bool ended) {
+  const auto over = endings_.confirm(session, ended);
   if (!over) return;
   if (over->ended) return send_to(over->request.peer, over->request.success);
   answer_end(over->request, diameter::kUnknownSessionId, "no such call");
 }
 
-void DiameterFront::answer_end(const EndRequest& request, std::uint32_t result, const char* text) {
+void DiameterFront::answer_end(const TerminationRequest& request, std::uint32_t result, const char* text) {
   MessageView view;
   if (decode(request.request, view)) return;
   send_to(request.peer, error_answer(local_, view, result, {}, text));
@@ -328,7 +328,7 @@
   if (ends_timer_ != net::TimerId() || due > 1e15) return;
   ends_timer_ = loop_.timers().at(due, [this] {
     ends_timer_ = 0;
-    for (const EndRequest& each : endings_.overdue(loop_.now())) {
+    for (const TerminationRequest& each : endings_.take_expired(loop_.now())) {
       counts_.unconfirmed += 1;
       answer_end(each, diameter::kUnableToDeliver, "the core server has not confirmed it: say it again");
     }
--- a/src/edge/diameter_front.hpp
+++ b/src/edge/diameter_front.hpp
@@ -12,9 +12,9 @@
 
 #include "diameter/duplicates.hpp"
 #include "edge/config.hpp"
-#include "edge/endings.hpp"
 #include "edge/front.hpp"
 #include "edge/peer_link.hpp"
+#include "edge/pending_terminations.hpp"
 
 namespace mintrock::edge {
 
@@ -33,7 +33,7 @@
   // `event` is told one line of the log: a peer, a name for the event, details.
   DiameterFront(
       net::Loop& loop, const diameter::LocalNode& local, const Config& config, std::uint64_t seed,
-      Switchboard& board,
+      FrontDelegate& board,
       std::function<bool(const std::shared_ptr<net::Stream>&, const diameter::MessageView&, std::string_view)>
           core_connection,
       std::function<void(const std::string& peer, const char* event, const std::string& detail)> event);
@@ -42,7 +42,7 @@
   void answer(CallId call, const SetupResult& result) override;
   void cut(CallId call) override;
   void forget(CallId call) override;
-  void released(const std::string& session, bool ended) override;
+  void on_release_confirmed(const std::string& session, bool ended) override;
 
   std::size_t ends_open() const { return endings_.size(); }
   void stop_listening() { listener_.reset(); }
@@ -85,10 +85,10 @@
   void on_message(Caller& caller, const diameter::MessageView& view, bool reopening);
   void on_setup(Caller& caller, const diameter::MessageView& view, bool reopening);
   void on_end(Caller& caller, const diameter::MessageView& view);
-  void await_end(Caller& caller, EndRequest request, const std::string& session, std::uint32_t servers,
-                 bool known);
+  void await_end(Caller& caller, TerminationRequest request, const std::string& session,
+                 std::uint32_t servers, bool known);
   void watch_ends();
-  void answer_end(const EndRequest& request, std::uint32_t result, const char* text);
+  void answer_end(const TerminationRequest& request, std::uint32_t result, const char* text);
   void send_to(const std::string& peer, std::string bytes);
   void on_down(Caller& caller, const std::string& why);
   void end_calls(Caller& caller, bool only_unanswered);
@@ -98,7 +98,7 @@
   const diameter::LocalNode& local_;
   const Config& config_;
   std::uint64_t seed_;
-  Switchboard& board_;
+  FrontDelegate& board_;
   std::function<bool(const std::shared_ptr<net::Stream>&, const diameter::MessageView&, std::string_view)>
       core_connection_;
   std::function<void(const std::string&, const char*, const std::string&)> event_;
@@ -109,7 +109,7 @@
   std::unordered_map<CallId, Open> open_;
   std::unordered_map<std::string, CallId> sessions_;
   diameter::Duplicates duplicates_;
-  Endings endings_;
+  PendingTerminations endings_;
   net::TimerId ends_timer_ = 0;
   FrontCounts counts_;
   bool stopping_ = false;
--- a/src/edge/edge.cpp
+++ b/src/edge/edge.cpp
@@ -52,7 +52,7 @@
       front_(
           loop_, local_, config_, seed_ + 2, *this,
           [this](const std::shared_ptr<net::Stream>& stream, const diameter::MessageView& cer,
-                 std::string_view rest) { return core_.offer_connection(stream, cer, rest); },
+                 std::string_view rest) { return core_.adopt_connection(stream, cer, rest); },
           [](const std::string& peer, const char* event, const std::string& detail) {
             const bool bad = detail.size() > 0 && std::string(event) != "down";
             log_event(bad ? warn : info, event, {{"side", "caller"}, {"peer", peer}, {"detail", detail}});
@@ -80,16 +80,17 @@
   count("mintrock_attempts_total", "Set-ups sent to core servers", {}, d.attempts);
   count(kAttempts, "Attempts that ended in doubt", {{"how", "timed_out"}}, d.timed_out);
   count(kAttempts, "Attempts that ended in doubt", {{"how", "cancelled"}}, d.cancelled);
-  const CoreCounts& c = core_.counts();
+  const CoreCounters& c = core_.counters();
   count("mintrock_core_answers_unexpected_total", "Answers to no request of ours", {}, c.unexpected);
   count("mintrock_core_answers_late_total", "Answers of attempts given up", {}, c.late);
-  count("mintrock_core_late_stood_total", "Of those, calls that stood and were released", {}, c.late_stood);
-  count("mintrock_malformed_total", "Malformed messages", {{"side", "core"}}, c.bad);
+  count("mintrock_core_late_stood_total", "Of those, calls that stood and were released", {},
+        c.late_established);
+  count("mintrock_malformed_total", "Malformed messages", {{"side", "core"}}, c.malformed);
   metrics_.family(
       "mintrock_core_answers_total", "Answers to set-ups, by core server and Result-Code", [this] {
         std::vector<std::pair<std::map<std::string, std::string>, double>> out;
         for (const CoreSide::View& each : core_.servers()) {
-          for (const auto& [result, n] : each.answers->counts()) {
+          for (const auto& [result, n] : each.answers->counts_by_result()) {
             out.push_back(
                 {{{"server", each.identity}, {"result", result == 0 ? "other" : std::to_string(result)}},
                  static_cast<double>(n)});
@@ -180,12 +181,12 @@
 
 // ---- Fronts ----
 
-void Edge::offer(Front& front, CallId id, RecordPtr record, bool peer_on_trial) {
+void Edge::offer(Front& front, CallId id, RecordPtr record, bool peer_reopening) {
   CallRequest offer;
-  offer.peer_reopening = peer_on_trial;
-  const ClassOf kind = class_of(config_.classes, *record);
+  offer.peer_reopening = peer_reopening;
+  const ClassMatch kind = match_class(config_.classes, *record);
   class_assumed_ += kind.assumed;
-  offer.call_class = kind.place;
+  offer.call_class = kind.index;
   const double deadline = config_.settings.classes[offer.call_class].deadline_s;
   offer.ttl_s = record->max_wait_ms ? std::min(deadline, *record->max_wait_ms / 1000.0) : deadline;
   offer.key = key_of(record->called);
@@ -201,15 +202,15 @@
   watch_desk();
 }
 
-std::optional<diameter::Fault> Edge::refusal_of_realm(const CallRecord& record) {
+std::optional<diameter::Fault> Edge::validate_realm(const CallRecord& record) {
   auto fault = check_realm(realms_, record.destination_realm);
   realm_refused_ += fault.has_value();
   return fault;
 }
 
-std::optional<diameter::Fault> Edge::refusal_of_setup(const CallRecord& record) {
-  if (auto fault = refusal_of_realm(record)) return fault;
-  auto fault = class_of(config_.classes, record).fault;
+std::optional<diameter::Fault> Edge::validate_setup(const CallRecord& record) {
+  if (auto fault = validate_realm(record)) return fault;
+  auto fault = match_class(config_.classes, record).fault;
   class_refused_ += fault.has_value();
   return fault;
 }
@@ -221,8 +222,8 @@
   return std::exchange(release_sent_, false);
 }
 
-std::uint32_t Edge::pass_termination(const CallRecord& record) {
-  return core_.pass_termination(record.destination_host, record);
+std::uint32_t Edge::forward_termination(const CallRecord& record) {
+  return core_.forward_termination(record.destination_host, record);
 }
 
 const CoreAnswer& Edge::rejection_of(CallId call) {
@@ -287,7 +288,7 @@
 
 // ---- What the core side tells ----
 
-void Edge::core_stood(CallId call, std::uint32_t attempt, const CoreAnswer& answer) {
+void Edge::core_established(CallId call, std::uint32_t attempt, const CoreAnswer& answer) {
   desk_.on_established(call, attempt, answer.report, loop_.now());
   watch_desk();
 }
@@ -306,9 +307,11 @@
   watch_desk();
 }
 
-void Edge::core_released(const std::string& session, bool ended) { front_.released(session, ended); }
+void Edge::core_release_confirmed(const std::string& session, bool ended) {
+  front_.on_release_confirmed(session, ended);
+}
 
-void Edge::core_errors(const std::string& server, const AnswerWatch::Warning& warning) {
+void Edge::core_errors(const std::string& server, const AnswerMonitor::Warning& warning) {
   log_event(warn, "core_errors",
             {{"peer", server},
              {"result", std::to_string(warning.result)},
@@ -343,7 +346,7 @@
   desk_.update_servers(
       book_.event(news, news.full ? ServerList::Mode::kFull : ServerList::Mode::kDelta, now, net::wall_now()),
       now);
-  for (const auto& [id, entry] : book_.entries()) core_.update(id, entry);
+  for (const auto& [id, entry] : book_.entries()) core_.update_server(id, entry);
   watch_desk();
   keep_list(news);
   save_list();
@@ -427,7 +430,7 @@
   }
   told.entries = membership::tell(kept, now);
   desk_.update_servers(told, now);
-  for (const ServerEntry& each : told.entries) core_.update(each.id, *book_.find(each.id));
+  for (const ServerEntry& each : told.entries) core_.update_server(each.id, *book_.find(each.id));
   return true;
 }
 
@@ -486,7 +489,7 @@
     book_.take(news);
     const double now = loop_.now();
     desk_.update_servers(book_.event(news, ServerList::Mode::kCached, now, net::wall_now()), now);
-    for (const auto& [id, entry] : book_.entries()) core_.update(id, entry);
+    for (const auto& [id, entry] : book_.entries()) core_.update_server(id, entry);
     log_event(info, "list_cached", {{"detail", std::to_string(news.entries.size()) + " servers"}});
   } catch (const std::exception& error) {
     log_event(warn, "list_cache_malformed", {{"detail", config_.list.cache_file + ": " + error.what()}});
@@ -595,8 +598,8 @@
     servers.push_back({{"server", each.identity},
                        {"peer", each.state},
                        {"watchdog", each.watchdog},
-                       {"out", each.out},
-                       {"standing", each.standing}});
+                       {"out", each.in_flight},
+                       {"standing", each.established}});
     if (each.load >= 0) servers.back()["load"] = each.load;
     if (each.answers->last_error() != 0) {
       servers.back()["answers"] = {{"only_errors", each.answers->errors_only()},
--- a/src/edge/edge.hpp
+++ b/src/edge/edge.hpp
@@ -25,7 +25,7 @@
 
 namespace mintrock::edge {
 
-class Edge : private CallManagerDelegate, private CorePorts, private Switchboard {
+class Edge : private CallManagerDelegate, private CoreSideDelegate, private FrontDelegate {
  public:
   Edge(net::Loop& loop, Config config, std::string config_file);
   ~Edge() override;
@@ -35,7 +35,7 @@
   net::Address callers_address() const { return front_.listening(); }
   net::Address admin_address() const { return admin_->listening(); }
   const CallCounters& desk_counts() const { return desk_.counters(); }
-  const CoreCounts& core_counts() const { return core_.counts(); }
+  const CoreCounters& core_counts() const { return core_.counters(); }
   // The state of a core server's peer machine, by its name; empty: not known.
   std::string core_state(const std::string& identity) const;
   std::uint64_t list_revision() const { return book_.revision(); }
@@ -61,21 +61,21 @@
   void subscribe() override;
   void send_gossip(std::uint32_t peer, const std::vector<Hearsay>& hearsay) override;
   void log(const std::string& text) override;
-  // CorePorts
-  void core_stood(CallId call, std::uint32_t attempt, const CoreAnswer& answer) override;
+  // CoreSideDelegate
+  void core_established(CallId call, std::uint32_t attempt, const CoreAnswer& answer) override;
   void core_ended(CallId call, std::uint32_t attempt, const CoreAnswer& answer) override;
   void core_load(ServerId server, const CoreAnswer& answer) override;
-  void core_released(const std::string& session, bool ended) override;
-  void core_errors(const std::string& server, const AnswerWatch::Warning& warning) override;
+  void core_release_confirmed(const std::string& session, bool ended) override;
+  void core_errors(const std::string& server, const AnswerMonitor::Warning& warning) override;
   void core_event(const std::string& server, const char* event, const std::string& detail) override;
-  // Switchboard
-  CallId next_call() override { return desk_.next_call_id(); }
-  void offer(Front& front, CallId call, RecordPtr record, bool peer_on_trial) override;
-  std::optional<diameter::Fault> refusal_of_realm(const CallRecord& record) override;
-  std::optional<diameter::Fault> refusal_of_setup(const CallRecord& record) override;
+  // FrontDelegate
+  CallId next_call_id() override { return desk_.next_call_id(); }
+  void offer(Front& front, CallId call, RecordPtr record, bool peer_reopening) override;
+  std::optional<diameter::Fault> validate_realm(const CallRecord& record) override;
+  std::optional<diameter::Fault> validate_setup(const CallRecord& record) override;
   const CoreAnswer& rejection_of(CallId call) override;
   bool hang_up(CallId call) override;
-  std::uint32_t pass_termination(const CallRecord& record) override;
+  std::uint32_t forward_termination(const CallRecord& record) override;
   const std::string& identity_of(ServerId server) override;
 
   void on_list(const list::SseEvent& event);
@@ -98,7 +98,7 @@
   diameter::LocalNode local_;
   Metrics metrics_;
   list::Book book_;
-  Realms realms_;
+  RealmTable realms_;
   CallManager desk_;
   CoreSide core_;
   DiameterFront front_;
--- a/src/edge/front.hpp
+++ b/src/edge/front.hpp
@@ -13,22 +13,22 @@
 namespace mintrock::edge {
 
 // The side of the program that fronts talk to.
-class Switchboard {
+class FrontDelegate {
  public:
-  virtual ~Switchboard() = default;
-  virtual CallId next_call() = 0;
+  virtual ~FrontDelegate() = default;
+  virtual CallId next_call_id() = 0;
   // Whether the request is served here at all; else its answer: a realm that is not served, and, of set-ups,
   // an unknown class.
-  virtual std::optional<diameter::Fault> refusal_of_realm(const CallRecord& record) = 0;
-  virtual std::optional<diameter::Fault> refusal_of_setup(const CallRecord& record) = 0;
+  virtual std::optional<diameter::Fault> validate_realm(const CallRecord& record) = 0;
+  virtual std::optional<diameter::Fault> validate_setup(const CallRecord& record) = 0;
   // Takes a call over and offers it to the desk; the front's `answer` comes once, maybe before this returns.
   //
-  virtual void offer(class Front& front, CallId call, RecordPtr record, bool peer_on_trial) = 0;
+  virtual void offer(class Front& front, CallId call, RecordPtr record, bool peer_reopening) = 0;
   // The caller ends the call, or waits no more. True: a core server is to confirm it, see Front::released.
   virtual bool hang_up(CallId call) = 0;
   // A call that this proxy doesn't know ends at the core server that it names; where it names none, all are
   // asked. How many are to confirm it.
-  virtual std::uint32_t pass_termination(const CallRecord& record) = 0;
+  virtual std::uint32_t forward_termination(const CallRecord& record) = 0;
   virtual const std::string& identity_of(ServerId server) = 0;
   // What a core server answered to the call's last attempt; where its verdict is kRejected.
   virtual const CoreAnswer& rejection_of(CallId call) = 0;
@@ -41,7 +41,7 @@
   virtual void cut(CallId call) = 0;     // it stood, and the core side ended it
   virtual void forget(CallId call) = 0;  // nothing more comes for it
   // A core server confirms the end of a session: it has ended it, or knows of none.
-  virtual void released(const std::string& session, bool ended) = 0;
+  virtual void on_release_confirmed(const std::string& session, bool ended) = 0;
 };
 
 }  // namespace mintrock::edge
--- a/src/edge/request_routing.cpp
+++ b/src/edge/request_routing.cpp
@@ -16,42 +16,43 @@
 
 }  // namespace
 
-std::string Realms::folded(std::string_view realm) {
+std::string RealmTable::case_folded(std::string_view realm) {
   std::string out(realm);
   std::transform(out.begin(), out.end(), out.begin(),
                  [](char c) { return c >= 'A' && c <= 'Z' ? static_cast<char>(c - 'A' + 'a') : c; });
   return out;
 }
 
-Realms::Realms(const std::string& own, const std::map<std::string, Action>& table, Action others)
-    : others_(others) {
-  table_[folded(own)] = Action::kLocal;
-  for (const auto& [realm, action] : table) table_[folded(realm)] = action;
+RealmTable::RealmTable(const std::string& own, const std::map<std::string, Action>& table,
+                       Action default_action)
+    : default_action_(default_action) {
+  table_[case_folded(own)] = Action::kLocal;
+  for (const auto& [realm, action] : table) table_[case_folded(realm)] = action;
 }
 
-Realms::Action Realms::action_of(std::string_view realm) const {
-  const auto found = table_.find(folded(realm));
-  return found != table_.end() ? found->second : others_;
+RealmTable::Action RealmTable::action_of(std::string_view realm) const {
+  const auto found = table_.find(case_folded(realm));
+  return found != table_.end() ? found->second : default_action_;
 }
 
-std::optional<diameter::Fault> check_realm(const Realms& realms, std::string_view realm) {
-  if (realms.action_of(realm) == Realms::Action::kLocal) return std::nullopt;
+std::optional<diameter::Fault> check_realm(const RealmTable& realms, std::string_view realm) {
+  if (realms.action_of(realm) == RealmTable::Action::kLocal) return std::nullopt;
   return diameter::Fault{diameter::kRealmNotServed, "",
                          "realm " + std::string(realm) + " is not served here"};
 }
 
-ClassOf class_of(const ClassTable& classes, const CallRecord& call) {
-  ClassOf out;
+ClassMatch match_class(const ClassTable& classes, const CallRecord& call) {
+  ClassMatch out;
   if (call.service_identifier) {
     const auto found = classes.by_service.find(*call.service_identifier);
     if (found != classes.by_service.end()) {
-      out.place = found->second;
+      out.index = found->second;
       return out;
     }
   }
   out.assumed = true;
-  if (classes.unknown) {
-    out.place = *classes.unknown;
+  if (classes.fallback) {
+    out.index = *classes.fallback;
   } else if (call.service_identifier) {
     out.fault = diameter::Fault{
         diameter::kInvalidAvpValue, service_identifier(*call.service_identifier),
--- a/src/edge/request_routing.hpp
+++ b/src/edge/request_routing.hpp
@@ -17,34 +17,34 @@
 namespace mintrock::edge {
 
 // The realm routing table. Names are compared without case, as host names are.
-class Realms {
+class RealmTable {
  public:
   enum class Action { kLocal, kRefuse };
   // `own`: this node's realm, local unless the table says otherwise. What is not in the table is `others`.
-  Realms(const std::string& own, const std::map<std::string, Action>& table, Action others);
+  RealmTable(const std::string& own, const std::map<std::string, Action>& table, Action default_action);
   Action action_of(std::string_view realm) const;
-  static std::string folded(std::string_view realm);
+  static std::string case_folded(std::string_view realm);
 
  private:
   std::map<std::string, Action> table_;
-  Action others_;
+  Action default_action_;
 };
 
 // The classes by Service-Identifier, and what becomes of a call that names none of them.
 struct ClassTable {
   std::map<std::uint32_t, std::uint32_t> by_service;  // place among the classes
-  std::optional<std::uint32_t> unknown;               // unknown or missing: taken as this one; none: refused
+  std::optional<std::uint32_t> fallback;              // unknown or missing: taken as this one; none: refused
 };
 
 // Nothing if the request is served here; else the answer: 3003 for a realm that is not served.
-std::optional<diameter::Fault> check_realm(const Realms& realms, std::string_view realm);
+std::optional<diameter::Fault> check_realm(const RealmTable& realms, std::string_view realm);
 
-struct ClassOf {
-  std::uint32_t place = 0;
+struct ClassMatch {
+  std::uint32_t index = 0;
   bool assumed = false;                  // it named none, or an unknown one
   std::optional<diameter::Fault> fault;  // 5004 (unknown) or 5005 (missing), with Failed-AVP
 };
-ClassOf class_of(const ClassTable& classes, const CallRecord& call);
+ClassMatch match_class(const ClassTable& classes, const CallRecord& call);
 
 }  // namespace mintrock::edge
 
--- a/tests/edge/config_test.cpp
+++ b/tests/edge/config_test.cpp
@@ -93,11 +93,11 @@
       with("unknown_class: b\nrealms: [{realm: Guest.test, action: local}, "
            "{realm: \"*\", action: local}]\n"));
   const Config config = load_config(file.path);
-  EXPECT_EQ(config.classes.unknown, 1u);
-  EXPECT_EQ(config.realms.at("guest.test"), Realms::Action::kLocal);
-  EXPECT_EQ(config.other_realms, Realms::Action::kLocal);
+  EXPECT_EQ(config.classes.fallback, 1u);
+  EXPECT_EQ(config.realms.at("guest.test"), RealmTable::Action::kLocal);
+  EXPECT_EQ(config.other_realms, RealmTable::Action::kLocal);
   const File plain(kGood);
-  EXPECT_FALSE(load_config(plain.path).classes.unknown) << "refused unless told otherwise";
+  EXPECT_FALSE(load_config(plain.path).classes.fallback) << "refused unless told otherwise";
   EXPECT_EQ(fault(with("unknown_class: c\n")), ":6: unknown_class: 'c' is none of a, b, refuse");
   EXPECT_EQ(fault(with("realms: [{realm: x, action: local}, {realm: X, action: refuse}]\n")),
             ":6: realms[1].realm: X stands twice");
--- a/tests/edge/core_sessions_test.cpp
+++ b/tests/edge/core_sessions_test.cpp
@@ -17,40 +17,40 @@
   return out;
 }
 
-CoreSessions fresh(std::size_t most = 100) {
+CoreSessions fresh(std::size_t max_kept = 100) {
   CoreSessions::Settings settings;
-  settings.most = most;
+  settings.max_kept = max_kept;
   CoreSessions out(settings);
-  out.back(1, 0);
+  out.on_connected(1, 0);
   return out;
 }
 
 TEST(CoreSessions, ALateSuccessIsReleasedUnlessItsSessionIsInUseAnew) {
   CoreSessions s = fresh();
-  s.sent_setup({1, 0}, record("a"), 10);
-  EXPECT_TRUE(s.over({1, 0}, "a", 1));
-  EXPECT_EQ(s.answered(10, "a", true).kind, Kind::kLateAndStands);
-  EXPECT_EQ(s.answered(10, "a", true).kind, Kind::kUnexpected) << "a second answer";
-  s.sent_setup({2, 0}, record("b"), 11);
-  EXPECT_TRUE(s.over({2, 0}, "b", 2));
-  s.sent_setup({2, 1}, record("b"), 12);
-  EXPECT_EQ(s.answered(11, "b", true).kind, Kind::kLate);
-  EXPECT_EQ(s.answered(12, "b", true).kind, Kind::kOfSetup);
-  EXPECT_EQ(s.standing(), 1u);
+  s.on_setup_sent({1, 0}, record("a"), 10);
+  EXPECT_TRUE(s.end_attempt({1, 0}, "a", 1));
+  EXPECT_EQ(s.on_answer(10, "a", true).kind, Kind::kLateEstablished);
+  EXPECT_EQ(s.on_answer(10, "a", true).kind, Kind::kUnexpected) << "a second answer";
+  s.on_setup_sent({2, 0}, record("b"), 11);
+  EXPECT_TRUE(s.end_attempt({2, 0}, "b", 2));
+  s.on_setup_sent({2, 1}, record("b"), 12);
+  EXPECT_EQ(s.on_answer(11, "b", true).kind, Kind::kLate);
+  EXPECT_EQ(s.on_answer(12, "b", true).kind, Kind::kSetup);
+  EXPECT_EQ(s.established(), 1u);
 }
 
 TEST(CoreSessions, WhatNeverLeftHoldsNothing) {
   CoreSessions s = fresh();
-  s.wait({1, 0}, 3, record("a"), 0);
-  EXPECT_FALSE(s.over({1, 0}, "a", 0.1));
-  EXPECT_TRUE(s.take_waiting().empty());
-  EXPECT_FALSE(s.over({9, 0}, "none", 0.1));
+  s.queue_setup({1, 0}, 3, record("a"), 0);
+  EXPECT_FALSE(s.end_attempt({1, 0}, "a", 0.1));
+  EXPECT_TRUE(s.take_queued().empty());
+  EXPECT_FALSE(s.end_attempt({9, 0}, "none", 0.1));
 }
 
 TEST(CoreSessions, WaitingEndsByItsOwnTime) {
   CoreSessions s = fresh();
-  s.wait({1, 0}, 3, record("a"), 0);
-  s.wait({2, 0}, 0.1, record("b"), 0);
+  s.queue_setup({1, 0}, 3, record("a"), 0);
+  s.queue_setup({2, 0}, 0.1, record("b"), 0);
   EXPECT_DOUBLE_EQ(s.deadline(), 0.1);
   EXPECT_EQ(s.tick(0.1).no_connection.size(), 1u);
   EXPECT_DOUBLE_EQ(s.deadline(), 0.5);
@@ -60,75 +60,75 @@
 
 TEST(CoreSessions, TheSameProcessKeepsItsCallsAndIsSentWhatItMissed) {
   CoreSessions s = fresh();
-  s.sent_setup({1, 0}, record("stands"), 10);
-  s.answered(10, "stands", true);
-  s.sent_setup({2, 0}, record("out"), 11);
-  s.sent_setup({3, 0}, record("ending"), 12);
-  s.answered(12, "ending", true);
-  EXPECT_TRUE(s.over({3, 0}, "ending", 1));
-  s.sent_release(record("ending"), 13, 1);
-  const auto over = s.lost(2);
+  s.on_setup_sent({1, 0}, record("stands"), 10);
+  s.on_answer(10, "stands", true);
+  s.on_setup_sent({2, 0}, record("out"), 11);
+  s.on_setup_sent({3, 0}, record("ending"), 12);
+  s.on_answer(12, "ending", true);
+  EXPECT_TRUE(s.end_attempt({3, 0}, "ending", 1));
+  s.on_release_sent(record("ending"), 13, 1);
+  const auto over = s.on_connection_lost(2);
   ASSERT_EQ(over.size(), 1u) << "the set-up that was out; its answer may be lost";
   EXPECT_EQ(over[0].call, 2u);
-  const auto back = s.back(1, 3);
+  const auto back = s.on_connected(1, 3);
   EXPECT_TRUE(back.cut.empty());
   std::set<std::string> sessions;
-  for (const auto& each : back.releases) sessions.insert(each->session_id);
+  for (const auto& each : back.releases_to_send) sessions.insert(each->session_id);
   EXPECT_EQ(sessions, (std::set<std::string>{"out", "ending"}));
-  EXPECT_EQ(s.standing(), 1u);
+  EXPECT_EQ(s.established(), 1u);
   EXPECT_GT(s.deadline(), 1e15) << "nothing is held against time any more";
 }
 
 TEST(CoreSessions, AnotherProcessHasLostThemAll) {
   CoreSessions s = fresh();
-  s.sent_setup({1, 0}, record("stands"), 10);
-  s.answered(10, "stands", true);
-  s.sent_setup({2, 0}, record("out"), 11);
-  s.lost(2);
-  const auto back = s.back(2, 3);
+  s.on_setup_sent({1, 0}, record("stands"), 10);
+  s.on_answer(10, "stands", true);
+  s.on_setup_sent({2, 0}, record("out"), 11);
+  s.on_connection_lost(2);
+  const auto back = s.on_connected(2, 3);
   ASSERT_EQ(back.cut.size(), 1u);
   EXPECT_EQ(back.cut[0].call, 1u);
-  EXPECT_TRUE(back.releases.empty()) << "the new process holds nothing";
-  EXPECT_EQ(s.owed(), 0u);
+  EXPECT_TRUE(back.releases_to_send.empty()) << "the new process holds nothing";
+  EXPECT_EQ(s.pending_releases(), 0u);
 }
 
 // A caller ends a call that an earlier life of this proxy set up, before the server's connection stands.
 TEST(CoreSessions, WhatIsOwedAtFirstContactIsSent) {
   CoreSessions s{CoreSessions::Settings{}};
-  s.owe(record("of an earlier life"), 0);
-  EXPECT_EQ(s.back(7, 1).releases.size(), 1u);
+  s.queue_release(record("of an earlier life"), 0);
+  EXPECT_EQ(s.on_connected(7, 1).releases_to_send.size(), 1u);
 }
 
 TEST(CoreSessions, TheHoldTimeCutsAndOwes) {
   CoreSessions s = fresh();
-  s.sent_setup({1, 0}, record("stands"), 10);
-  s.answered(10, "stands", true);
-  s.lost(2);
+  s.on_setup_sent({1, 0}, record("stands"), 10);
+  s.on_answer(10, "stands", true);
+  s.on_connection_lost(2);
   EXPECT_DOUBLE_EQ(s.deadline(), 4);
   EXPECT_TRUE(s.tick(3.9).cut.empty());
   EXPECT_EQ(s.tick(4).cut.size(), 1u);
-  EXPECT_EQ(s.back(1, 5).releases.size(), 1u) << "it was alive all the time";
+  EXPECT_EQ(s.on_connected(1, 5).releases_to_send.size(), 1u) << "it was alive all the time";
 }
 
 TEST(CoreSessions, OwedReleasesAreForgottenByAgeAndNumber) {
   CoreSessions s = fresh(10);
-  for (int i = 0; i < 50; ++i) s.owe(record(std::to_string(i)), 0);
-  EXPECT_EQ(s.owed(), 10u);
-  EXPECT_TRUE(s.back(1, 31).releases.empty());
+  for (int i = 0; i < 50; ++i) s.queue_release(record(std::to_string(i)), 0);
+  EXPECT_EQ(s.pending_releases(), 10u);
+  EXPECT_TRUE(s.on_connected(1, 31).releases_to_send.empty());
   // And so are answers that never come.
   for (std::uint32_t i = 0; i < 50; ++i) {
-    s.sent_setup({i, 0}, record("x" + std::to_string(i)), 100 + i);
-    s.over({i, 0}, "x" + std::to_string(i), 40);
+    s.on_setup_sent({i, 0}, record("x" + std::to_string(i)), 100 + i);
+    s.end_attempt({i, 0}, "x" + std::to_string(i), 40);
   }
-  EXPECT_LE(s.pending(), 11u);
+  EXPECT_LE(s.pending_requests(), 11u);
 }
 
 TEST(CoreSessions, AnAbortedSetupIsOverAndItsAnswerLate) {
   CoreSessions s = fresh();
-  s.sent_setup({1, 0}, record("a"), 10);
-  EXPECT_EQ(s.aborted("a", 1)->call, 1u);
-  EXPECT_FALSE(s.aborted("a", 1));
-  EXPECT_EQ(s.answered(10, "a", false).kind, Kind::kLate);
+  s.on_setup_sent({1, 0}, record("a"), 10);
+  EXPECT_EQ(s.on_abort("a", 1)->call, 1u);
+  EXPECT_FALSE(s.on_abort("a", 1));
+  EXPECT_EQ(s.on_answer(10, "a", false).kind, Kind::kLate);
 }
 
 // A server that answers, loses, forgets and comes back at random: each attempt ends once, and once all is
@@ -148,12 +148,12 @@
       for (const auto& each : over) ended[each.call] += 1;
     };
     const auto release = [&](const std::string& session) {
-      if (!connected) return s.owe(record(session), now);
-      s.sent_release(record(session), ++hop, now);
+      if (!connected) return s.queue_release(record(session), now);
+      s.on_release_sent(record(session), ++hop, now);
       if (random() % 4 != 0)
         held.erase(session);  // else lost with the connection, which breaks at once
       else {
-        end(s.lost(now));
+        end(s.on_connection_lost(now));
         connected = false;
       }
     };
@@ -164,43 +164,44 @@
         state += 1;
         held.clear();
       }
-      const auto back = s.back(state, now);
+      const auto back = s.on_connected(state, now);
       end(back.cut);
-      for (const auto& each : back.releases) {
-        s.sent_release(each, ++hop, now);
+      for (const auto& each : back.releases_to_send) {
+        s.on_release_sent(each, ++hop, now);
         held.erase(each->session_id);
-        s.answered(hop, each->session_id, false);
+        s.on_answer(hop, each->session_id, false);
       }
     };
     for (CallId call = 1; call <= 60; ++call) {
       now += 0.01;
       reconnect();
       const std::string session = "s" + std::to_string(call);
-      s.sent_setup({call, 0}, record(session), ++hop);
+      s.on_setup_sent({call, 0}, record(session), ++hop);
       begun[call] = 1;
       const std::uint32_t mine = hop;
       if (random() % 5 != 0) held.insert(session);
       const bool stands = held.count(session) != 0;
       switch (random() % 4) {
         case 0: {  // answered
-          const auto answer = s.answered(mine, session, stands);
-          EXPECT_EQ(answer.kind, Kind::kOfSetup);
+          const auto answer = s.on_answer(mine, session, stands);
+          EXPECT_EQ(answer.kind, Kind::kSetup);
           if (!stands) ended[call] += 1;
           break;
         }
         case 1:  // given up, answered late
-          if (s.over({call, 0}, session, now)) release(session);
+          if (s.end_attempt({call, 0}, session, now)) release(session);
           ended[call] += 1;
-          if (connected && s.answered(mine, session, stands).kind == Kind::kLateAndStands) release(session);
+          if (connected && s.on_answer(mine, session, stands).kind == Kind::kLateEstablished)
+            release(session);
           break;
         case 2:  // the connection is lost with it out
-          end(s.lost(now));
+          end(s.on_connection_lost(now));
           connected = false;
           break;
         default:  // stands, and is ended
-          if (s.answered(mine, session, stands).kind == Kind::kOfSetup && !stands) {
+          if (s.on_answer(mine, session, stands).kind == Kind::kSetup && !stands) {
             ended[call] += 1;
-          } else if (s.over({call, 0}, session, now)) {
+          } else if (s.end_attempt({call, 0}, session, now)) {
             ended[call] += 1;
             release(session);
           }
@@ -210,17 +211,17 @@
     reconnect();
     for (CallId call = 1; call <= 60; ++call) {
       const std::string session = "s" + std::to_string(call);
-      if (!s.over({call, 0}, session, now)) continue;
+      if (!s.end_attempt({call, 0}, session, now)) continue;
       ended[call] += 1;
-      s.sent_release(record(session), ++hop, now);
+      s.on_release_sent(record(session), ++hop, now);
       held.erase(session);
     }
-    end(s.lost(now));
+    end(s.on_connection_lost(now));
     connected = false;
     reconnect();
     for (const auto& [call, times] : begun) EXPECT_EQ(ended[call], 1) << "call " << call << ", seed " << seed;
     EXPECT_TRUE(held.empty()) << held.size() << " left at the server, seed " << seed;
-    EXPECT_EQ(s.out() + s.standing(), 0u);
+    EXPECT_EQ(s.in_flight() + s.established(), 0u);
   }
 }
 
--- a/tests/edge/edge_test.cpp
+++ b/tests/edge/edge_test.cpp
@@ -316,7 +316,7 @@
   core.success(*core.lines.back(), held.view);
   wait([&] { return core.ends == 2; }, "stood late: released again");
   EXPECT_EQ(caller.results["late"].size(), 1u);
-  EXPECT_EQ(edge->core_counts().late_stood, 1u);
+  EXPECT_EQ(edge->core_counts().late_established, 1u);
 }
 
 TEST_F(Rig, AnAnswerThatComesTwiceIsAnsweredOnce) {
@@ -660,7 +660,7 @@
 }
 
 TEST_F(Rig, AnotherRealmsRequestIs3003) {
-  start([](Config& c) { c.realms["guest.test"] = Realms::Action::kLocal; });
+  start([](Config& c) { c.realms["guest.test"] = RealmTable::Action::kLocal; });
   connect();
   caller.ccr("other", 1, 1, "", 5000, 0, "elsewhere.example");
   caller.ccr("guest", 1, 2, "", 5000, 0, "Guest.Test");
--- a/tests/edge/request_routing_test.cpp
+++ b/tests/edge/request_routing_test.cpp
@@ -9,10 +9,10 @@
 namespace mintrock::edge {
 namespace {
 
-TEST(Realms, TheOwnOneIsServedOthersByTheTable) {
-  const Realms realms("Own.test",
-                      {{"guest.test", Realms::Action::kLocal}, {"x.test", Realms::Action::kRefuse}},
-                      Realms::Action::kRefuse);
+TEST(RealmTable, TheOwnOneIsServedOthersByTheTable) {
+  const RealmTable realms(
+      "Own.test", {{"guest.test", RealmTable::Action::kLocal}, {"x.test", RealmTable::Action::kRefuse}},
+      RealmTable::Action::kRefuse);
   EXPECT_FALSE(check_realm(realms, "own.TEST")) << "names of hosts have no case";
   EXPECT_FALSE(check_realm(realms, "Guest.test"));
   for (const char* other : {"x.test", "other.test", "", "test"}) {
@@ -20,8 +20,9 @@
     ASSERT_TRUE(fault) << other;
     EXPECT_EQ(fault->result_code, diameter::kRealmNotServed);
   }
-  EXPECT_FALSE(check_realm(Realms("a", {}, Realms::Action::kLocal), "any"));
-  EXPECT_TRUE(check_realm(Realms("a", {{"a", Realms::Action::kRefuse}}, Realms::Action::kLocal), "a"))
+  EXPECT_FALSE(check_realm(RealmTable("a", {}, RealmTable::Action::kLocal), "any"));
+  EXPECT_TRUE(
+      check_realm(RealmTable("a", {{"a", RealmTable::Action::kRefuse}}, RealmTable::Action::kLocal), "a"))
       << "a gateway may serve others' realms alone";
 }
 
@@ -34,13 +35,13 @@
 TEST(Classes, AnUnknownOrMissingOneIsRefusedNamingTheAvp) {
   ClassTable classes;
   classes.by_service = {{7, 0}, {9, 1}};
-  EXPECT_EQ(class_of(classes, call(9)).place, 1u);
-  EXPECT_FALSE(class_of(classes, call(9)).assumed);
-  const ClassOf unknown = class_of(classes, call(8));
+  EXPECT_EQ(match_class(classes, call(9)).index, 1u);
+  EXPECT_FALSE(match_class(classes, call(9)).assumed);
+  const ClassMatch unknown = match_class(classes, call(8));
   ASSERT_TRUE(unknown.fault);
   EXPECT_EQ(unknown.fault->result_code, diameter::kInvalidAvpValue);
   EXPECT_EQ(describe_failed_avp(unknown.fault->failed_avp), "Service-Identifier (439)");
-  const ClassOf missing = class_of(classes, call(std::nullopt));
+  const ClassMatch missing = match_class(classes, call(std::nullopt));
   ASSERT_TRUE(missing.fault);
   EXPECT_EQ(missing.fault->result_code, diameter::kMissingAvp);
   EXPECT_EQ(describe_failed_avp(missing.fault->failed_avp), "Service-Identifier (439)");
@@ -49,12 +50,12 @@
 TEST(Classes, OrTakenAsTheOneThatIsTold) {
   ClassTable classes;
   classes.by_service = {{7, 0}, {9, 1}};
-  classes.unknown = 1;
+  classes.fallback = 1;
   for (const auto service : {std::optional<std::uint32_t>(8), std::optional<std::uint32_t>()}) {
-    const ClassOf out = class_of(classes, call(service));
+    const ClassMatch out = match_class(classes, call(service));
     EXPECT_FALSE(out.fault);
     EXPECT_TRUE(out.assumed);
-    EXPECT_EQ(out.place, 1u);
+    EXPECT_EQ(out.index, 1u);
   }
 }
 
--- a/tests/edge/results_test.cpp
+++ b/tests/edge/results_test.cpp
@@ -4,7 +4,7 @@
 #include <gtest/gtest.h>
 
 #include "diameter/dictionary.hpp"
-#include "edge/answer_watch.hpp"
+#include "edge/answer_monitor.hpp"
 
 namespace mintrock::edge {
 namespace {
@@ -51,48 +51,48 @@
   EXPECT_EQ(describe_failed_avp("\1\2\3"), "");
 }
 
-TEST(AnswerWatch, WarnsOfErrorsOnceInAWhileWithTheirNumber) {
-  AnswerWatch watch;
+TEST(AnswerMonitor, WarnsOfErrorsOnceInAWhileWithTheirNumber) {
+  AnswerMonitor watch;
   const std::string avp = failed_avp(diameter::avp::kCalledStationId);
-  EXPECT_FALSE(watch.answered(0, 2001, ""));
-  const auto first = watch.answered(1, 5001, avp);
+  EXPECT_FALSE(watch.record_answer(0, 2001, ""));
+  const auto first = watch.record_answer(1, 5001, avp);
   ASSERT_TRUE(first);
   EXPECT_EQ(first->result, 5001u);
   EXPECT_EQ(first->failed_avp, "Called-Station-Id (30)");
-  for (int i = 0; i < 100; ++i) EXPECT_FALSE(watch.answered(2 + 0.01 * i, 5001, avp));
-  const auto later = watch.answered(11.5, 5012, "");
+  for (int i = 0; i < 100; ++i) EXPECT_FALSE(watch.record_answer(2 + 0.01 * i, 5001, avp));
+  const auto later = watch.record_answer(11.5, 5012, "");
   ASSERT_TRUE(later);
   EXPECT_EQ(later->errors, 101u) << "those that no line named, and this one";
-  EXPECT_EQ(watch.counts().at(5001), 101u);
+  EXPECT_EQ(watch.counts_by_result().at(5001), 101u);
 }
 
-TEST(AnswerWatch, NothingButErrorsIsToldFromAnErrorNowAndThen) {
-  AnswerWatch watch;
-  for (int i = 0; i < 4; ++i) watch.answered(i, 5001, "");
+TEST(AnswerMonitor, NothingButErrorsIsToldFromAnErrorNowAndThen) {
+  AnswerMonitor watch;
+  for (int i = 0; i < 4; ++i) watch.record_answer(i, 5001, "");
   EXPECT_FALSE(watch.errors_only());
-  watch.answered(4, 2001, "");
-  for (int i = 0; i < 4; ++i) watch.answered(5 + i, 5001, "");
+  watch.record_answer(4, 2001, "");
+  for (int i = 0; i < 4; ++i) watch.record_answer(5 + i, 5001, "");
   EXPECT_FALSE(watch.errors_only());
-  watch.answered(9, 5001, "");
+  watch.record_answer(9, 5001, "");
   EXPECT_TRUE(watch.errors_only());
-  watch.answered(10, 3004, "");
+  watch.record_answer(10, 3004, "");
   EXPECT_FALSE(watch.errors_only()) << "it is busy, not broken";
 }
 
 // A caller's unknown user is its own affair, a busy number too; a server that knows no user at all is not.
-TEST(AnswerWatch, ACallsOwnFaultIsNoWarningUnlessNothingElseComes) {
-  AnswerWatch watch;
-  EXPECT_FALSE(watch.answered(0, 5030, ""));
-  EXPECT_FALSE(watch.answered(1, 4010, ""));
-  for (int i = 0; i < 4; ++i) EXPECT_FALSE(watch.answered(2 + i, 5030, ""));
-  EXPECT_TRUE(watch.answered(7, 5030, ""));
+TEST(AnswerMonitor, ACallsOwnFaultIsNoWarningUnlessNothingElseComes) {
+  AnswerMonitor watch;
+  EXPECT_FALSE(watch.record_answer(0, 5030, ""));
+  EXPECT_FALSE(watch.record_answer(1, 4010, ""));
+  for (int i = 0; i < 4; ++i) EXPECT_FALSE(watch.record_answer(2 + i, 5030, ""));
+  EXPECT_TRUE(watch.record_answer(7, 5030, ""));
 }
 
-TEST(AnswerWatch, CodesAreBounded) {
-  AnswerWatch watch;
-  for (std::uint32_t i = 0; i < 1000; ++i) watch.answered(0, 10000 + i, "");
-  EXPECT_LE(watch.counts().size(), AnswerWatch::kMostCodes + 1);
-  EXPECT_EQ(watch.counts().at(0), 1000 - AnswerWatch::kMostCodes);
+TEST(AnswerMonitor, CodesAreBounded) {
+  AnswerMonitor watch;
+  for (std::uint32_t i = 0; i < 1000; ++i) watch.record_answer(0, 10000 + i, "");
+  EXPECT_LE(watch.counts_by_result().size(), AnswerMonitor::kMaxCodes + 1);
+  EXPECT_EQ(watch.counts_by_result().at(0), 1000 - AnswerMonitor::kMaxCodes);
 }
 
 }  // namespace
