--- a/src/edge/call_manager.cpp
+++ b/src/edge/call_manager.cpp
@@ -6,7 +6,8 @@
 namespace mintrock::edge {
 namespace {
 
-constexpr const char* kRanUnseen = "it ran, or may have, and that has ended, and its answer was not seen";
+constexpr const char* kEndedUnanswered =
+    "it ran, or may have, and that has ended, and its answer was not seen";
 
 }  // namespace
 
@@ -14,8 +15,8 @@
                          CallManagerDelegate& delegate)
     : settings_(settings), controller_(settings, seed), max_calls_(max_calls), delegate_(delegate) {}
 
-// Events that come while one is being carried out wait for their turn: an attempt that fails at once must not
-// be told to the Controller from inside the action that began it.
+// Events that arrive while another one is processed are queued: an attempt that fails immediately must not be
+// reported to the Controller from within the action that started it.
 void CallManager::process(double now, Event event) {
   queued_events_.emplace_back(now, std::move(event));
   if (processing_) return;
@@ -40,39 +41,40 @@
   process(now, LoadNotice{server, report});
 }
 
-void CallManager::offer(CallId id, const CallRequest& offer, double now) {
+void CallManager::offer(CallId id, const CallRequest& request, double now) {
   counters_.offered += 1;
-  if (draining_ || offer.peer_reopening || calls_.size() >= max_calls_) {
-    // Told at once, with the longest time that callers heed: there is no room for its state, which is no
-    // question of the servers that the Controller could answer.
+  if (draining_ || request.peer_reopening || calls_.size() >= max_calls_) {
+    // Refused immediately, with the longest retry time that callers respect. The reason is local to the proxy
+    // and independent of the servers, so the Controller is not asked.
     counters_.turned_away += 1;
     counters_.refused += 1;
     delegate_.answer(id, {SetupResult::Kind::kRefused, max_advised_wait(), 0,
-                          draining_              ? "draining"
-                          : offer.peer_reopening ? "the connection is on trial"
-                                                 : "the table of calls is full"});
+                          draining_                ? "draining"
+                          : request.peer_reopening ? "the connection is on trial"
+                                                   : "the table of calls is full"});
     delegate_.forget(id);
     return;
   }
   Call& call = calls_[id];
   call.offered_at = now;
-  call.overdue = timers_.at(now + offer.ttl_s, [this, id] {  // few bytes: no allocation
-    const auto found = calls_.find(id);
-    if (found == calls_.end()) return;
-    found->second.overdue = 0;
-    counters_.overdue += 1;
-    process(timer_now_, CallAbandoned{id});
-    finish_setup(id, {SetupResult::Kind::kFailed, 0, 0, "overdue"}, timer_now_);
-  });
+  call.overdue_timer =
+      timers_.at(now + request.ttl_s, [this, id] {  // small capture: std::function does not allocate
+        const auto found = calls_.find(id);
+        if (found == calls_.end()) return;
+        found->second.overdue_timer = 0;
+        counters_.overdue += 1;
+        process(timer_now_, CallAbandoned{id});
+        finish_setup(id, {SetupResult::Kind::kFailed, 0, 0, "overdue"}, timer_now_);
+      });
   NewCall event;
   event.call = id;
-  event.call_class = offer.call_class;
-  event.key = offer.key;
-  event.ttl_s = offer.ttl_s;
-  event.lines = offer.lines;
-  event.first_choice = offer.first_choice;
-  event.redialled = offer.redialled;
-  event.was_cut = offer.was_cut;
+  event.call_class = request.call_class;
+  event.key = request.key;
+  event.ttl_s = request.ttl_s;
+  event.lines = request.lines;
+  event.first_choice = request.first_choice;
+  event.redialled = request.redialled;
+  event.was_cut = request.was_cut;
   process(now, event);
 }
 
@@ -82,10 +84,10 @@
   Call& call = found->second;
   const std::uint32_t attempt = call.attempts++;
   call.server = action.server;
-  call.sent = now;
+  call.attempt_sent_at = now;
   call.state = View::State::kInFlight;
   counters_.attempts += 1;
-  call.give_up =
+  call.give_up_timer =
       timers_.at(now + action.give_up_after_s, [this, id = action.call, attempt] { give_up(id, attempt); });
   const SendResult send_result =
       delegate_.send_setup(action.call, attempt, action.server, action.give_up_after_s);
@@ -101,7 +103,7 @@
   const auto found = calls_.find(id);
   if (found == calls_.end() || found->second.attempts != attempt + 1) return;
   Call& call = found->second;
-  call.give_up = 0;
+  call.give_up_timer = 0;
   if (call.state != View::State::kInFlight) return;
   counters_.timed_out += 1;
   delegate_.release(id, attempt, call.server);
@@ -110,12 +112,12 @@
 
 void CallManager::end_attempt(CallId id, Call& call, Outcome outcome, Cause cause, double told_wait_s,
                               const Report& report, double now) {
-  timers_.cancel(std::exchange(call.give_up, 0));
+  timers_.cancel(std::exchange(call.give_up_timer, 0));
   AttemptEnded event;
   event.call = id;
   event.attempt = call.attempts - 1;
   event.server = call.server;
-  event.spent_s = now - call.sent;
+  event.spent_s = now - call.attempt_sent_at;
   event.outcome = outcome;
   event.cause = cause;
   event.told_wait_s = told_wait_s;
@@ -132,13 +134,13 @@
     return;
   }
   Call& call = found->second;
-  timers_.cancel(std::exchange(call.give_up, 0));
-  timers_.cancel(std::exchange(call.overdue, 0));
+  timers_.cancel(std::exchange(call.give_up_timer, 0));
+  timers_.cancel(std::exchange(call.overdue_timer, 0));
   call.state = View::State::kEstablished;
   established_ += 1;
   counters_.established += 1;
   const ServerId server = call.server;
-  const double spent = now - call.sent;
+  const double spent = now - call.attempt_sent_at;
   delegate_.answer(id, {SetupResult::Kind::kEstablished, 0, server, ""});
   process(now, SetupStood{id, attempt, server, spent});
   process(now, LoadNotice{server, report});
@@ -166,12 +168,12 @@
   event.call = id;
   event.attempt = call.attempts - 1;
   event.server = call.server;
-  event.spent_s = now - call.sent;
+  event.spent_s = now - call.attempt_sent_at;
   event.outcome = Outcome::kEnded;
   event.call_over = true;
   event.report = report;
-  call.state = View::State::kDeciding;  // nothing is out that had to be released
-  finish_setup(id, {SetupResult::Kind::kFailed, 0, call.server, kRanUnseen}, now);
+  call.state = View::State::kDeciding;  // prevents a release: the server holds nothing
+  finish_setup(id, {SetupResult::Kind::kFailed, 0, call.server, kEndedUnanswered}, now);
   process(now, event);
 }
 
@@ -179,7 +181,7 @@
   const auto found = calls_.find(id);
   if (found == calls_.end() || found->second.state == View::State::kEstablished) return;
   process(now, CallAbandoned{id});
-  finish_setup(id, {SetupResult::Kind::kFailed, 0, 0, kRanUnseen}, now);
+  finish_setup(id, {SetupResult::Kind::kFailed, 0, 0, kEndedUnanswered}, now);
 }
 
 void CallManager::on_established_call_ended(CallId id, Outcome outcome, const Report& report, double now) {
@@ -197,7 +199,7 @@
   event.call = id;
   event.attempt = call.attempts - 1;
   event.server = call.server;
-  event.spent_s = now - call.sent;
+  event.spent_s = now - call.attempt_sent_at;
   event.outcome = outcome;
   event.call_over = true;
   event.report = report;
@@ -228,7 +230,7 @@
   const View::State state = call.state;
   const std::uint32_t attempt = call.attempts - 1;
   const ServerId server = call.server;
-  const double spent = now - call.sent;
+  const double spent = now - call.attempt_sent_at;
   if (state == View::State::kEstablished) {
     counters_.ended += 1;
   } else {
@@ -252,7 +254,7 @@
 
 void CallManager::finish_setup(CallId id, const SetupResult& result, double) {
   const auto found = calls_.find(id);
-  // A second result for one call would be a second answer.
+  // Each call is answered once: an established call has had its answer.
   if (found == calls_.end() || found->second.state == View::State::kEstablished) return;
   Call& call = found->second;
   if (call.state == View::State::kInFlight) delegate_.release(id, call.attempts - 1, call.server);
@@ -266,8 +268,8 @@
 void CallManager::erase_call(CallId id) {
   const auto found = calls_.find(id);
   if (found == calls_.end()) return;
-  timers_.cancel(found->second.give_up);
-  timers_.cancel(found->second.overdue);
+  timers_.cancel(found->second.give_up_timer);
+  timers_.cancel(found->second.overdue_timer);
   if (found->second.state == View::State::kEstablished) established_ -= 1;
   calls_.erase(found);
   delegate_.forget(id);
--- a/src/edge/call_manager.hpp
+++ b/src/edge/call_manager.hpp
@@ -1,9 +1,9 @@
-// The life of every call at this proxy, whatever protocol brought it: one final answer, one attempt at a
-// time, each attempt's time-out, the timers that the decisions ask for.
+// Manages the life cycle of every call of the proxy, whichever protocol it arrived by: one final answer per
+// call, one attempt at a time, the timeout of each attempt, and the timers that the Controller requests.
 //
-// Pure: events and times in, calls of CallManagerDelegate out; no sockets, no clock. All that is to be
-// decided is asked of the Controller; the desk keeps the account, and its own bounds hold should anything
-// else fail: a call is answered by its caller's end at the latest, and once.
+// Does no I/O and reads no clock: it receives events with their times and calls CallManagerDelegate. The
+// Controller makes all decisions; the call manager tracks the state of each call. Independently of the
+// Controller it guarantees that a call is answered exactly once, and no later than its caller's deadline.
 #ifndef MINTROCK_SRC_EDGE_CALL_MANAGER_HPP_
 #define MINTROCK_SRC_EDGE_CALL_MANAGER_HPP_
 
@@ -18,7 +18,7 @@
 
 namespace mintrock::edge {
 
-// A call as a front offers it.
+// A call as a protocol front end offers it.
 struct CallRequest {
   std::uint32_t call_class = 0;
   std::uint64_t key = 0;
@@ -27,61 +27,62 @@
   std::int64_t first_choice = -1;
   bool redialled = false;
   bool was_cut = false;
-  bool peer_reopening = false;  // its connection came back and is not yet trusted (RFC 3539, REOPEN)
+  bool peer_reopening = false;  // the caller's connection is in state REOPEN, not yet trusted (RFC 3539)
 };
 
-// The final answer of a call's set-up.
+// The final answer to a call's set-up.
 struct SetupResult {
-  enum class Kind {
-    kEstablished,
-    kRefused,
-    kFailed,
-    kRejected
-  };  // rejected: as a core server answered, for good
+  // kRejected: a core server rejected the call for good; no other server would accept it.
+  enum class Kind { kEstablished, kRefused, kFailed, kRejected };
   Kind kind = Kind::kFailed;
-  double retry_after_s = 0;  // refused: come back after this; 0: no advice
-  ServerId server = 0;       // stands: where
+  double retry_after_s = 0;  // kRefused: when the caller may retry; 0: no advice
+  ServerId server = 0;  // kEstablished: the server that holds the call; kRejected: the one that rejected it
   const char* reason = "";
 };
 
-// What becomes of an attempt when it is handed to the core side.
+// Outcome of handing an attempt to the core side.
 enum class SendResult {
-  kAccepted,      // sent, or waiting for its connection
-  kNoConnection,  // no connection can be had now: it never ran
-  kNotSent        // this proxy is in no state to send it: it never ran
+  kAccepted,      // sent, or queued until its connection is established
+  kNoConnection,  // no connection is available; the attempt never ran
+  kNotSent        // the proxy may not send it to this server now; the attempt never ran
 };
 
+// Receives the answers of the CallManager and carries out what it requests.
 class CallManagerDelegate {
  public:
   virtual ~CallManagerDelegate() = default;
-  virtual void answer(CallId call, const SetupResult& result) = 0;  // once for each call that was offered
-  virtual void cut(CallId call) = 0;  // a standing call was ended by the core side
+  // Called once for each offered call that its caller has not abandoned.
+  virtual void answer(CallId call, const SetupResult& result) = 0;
+  // The core side ended an established call.
+  virtual void cut(CallId call) = 0;
   virtual SendResult send_setup(CallId call, std::uint32_t attempt, ServerId server,
                                 double give_up_after_s) = 0;
-  // Free whatever this attempt, or the standing call that it became, holds at the server.
+  // Frees whatever the attempt, or the established call that it became, holds at the server.
   virtual void release(CallId call, std::uint32_t attempt, ServerId server) = 0;
-  virtual void forget(CallId call) = 0;  // nothing more comes for it
+  // No further callback follows for the call.
+  virtual void forget(CallId call) = 0;
+  // Subscribes to the server list.
   virtual void subscribe() = 0;
   virtual void send_gossip(std::uint32_t peer, const std::vector<Hearsay>& hearsay) = 0;
   virtual void log(const std::string& text) = 0;
 };
 
-// What happened so far; for metrics and tests.
+// Totals since the start, for metrics and tests.
 struct CallCounters {
   std::uint64_t offered = 0;
   std::uint64_t established = 0;
   std::uint64_t refused = 0;
   std::uint64_t failed = 0;
-  std::uint64_t rejected = 0;     // for good, by core servers
-  std::uint64_t abandoned = 0;    // by the caller, before an answer
-  std::uint64_t turned_away = 0;  // refused, since the table was full or the proxy draining
-  std::uint64_t overdue = 0;      // answered by the desk itself at the caller's end: a fault of ours
-  std::uint64_t ended = 0;        // standing calls ended by their callers
-  std::uint64_t cut = 0;          // and by the core side
+  std::uint64_t rejected = 0;     // rejected for good by a core server
+  std::uint64_t abandoned = 0;    // given up by the caller before the answer
+  std::uint64_t turned_away = 0;  // refused because of a full table, draining, or a connection in REOPEN
+  std::uint64_t overdue = 0;      // answered only by the timer at the caller's deadline: an internal error
+  std::uint64_t ended = 0;        // established calls ended by their callers
+  std::uint64_t cut = 0;          // established calls ended by the core side
   std::uint64_t attempts = 0;
   std::uint64_t timed_out = 0;
   std::uint64_t cancelled = 0;
-  std::uint64_t late_answers = 0;  // answers of attempts that were over already
+  std::uint64_t late_answers = 0;  // answers for attempts or calls that had already ended
 };
 
 class CallManager {
@@ -89,33 +90,34 @@
   CallManager(const Settings& settings, std::uint64_t seed, std::uint32_t max_calls,
               CallManagerDelegate& delegate);
 
-  // ---- From the front ----
-  // A number for a call about to be offered; never used again.
+  // ---- From the protocol front ends ----
+  // Returns a new call ID; IDs are never reused.
   CallId next_call_id() { return ++last_call_id_; }
-  void offer(CallId call, const CallRequest& offer, double now);
-  // The caller waits no more, or ends a call that stands. False if the call is not known (any more).
+  void offer(CallId call, const CallRequest& request, double now);
+  // The caller abandons a pending call or ends an established one. Returns false if the call is unknown.
   bool hang_up(CallId call, double now);
 
   // ---- From the core side ----
   void on_established(CallId call, std::uint32_t attempt, const Report& report, double now);
-  // An attempt ended otherwise, or a standing call was cut (Outcome::kReset) or ended there (kEnded).
+  // An attempt ended without success, or an established call was cut (Outcome::kReset) or ended by the core
+  // server (Outcome::kEnded).
   void on_ended(CallId call, std::uint32_t attempt, Outcome outcome, Cause cause, double told_wait_s,
                 const Report& report, double now);
 
-  // An earlier attempt, given up for lost, has run, or may have, and what came of it has ended: the call is
-  // over, whatever is out for it now. Nothing happens to one that stands.
+  // An earlier attempt that was given up did run, or may have run, and its call has ended. The call is over
+  // and fails, whichever attempt is in flight now. Has no effect on an established call.
   void on_earlier_attempt_ended(CallId call, double now);
 
-  // The same of a call that stands, whatever the number of the attempt that it became.
+  // The core side ended an established call; does not need the number of the attempt that established it.
   void on_established_call_ended(CallId call, Outcome outcome, const Report& report, double now);
 
-  // ---- From elsewhere ----
+  // ---- From other sources ----
   void start(double now);
   void update_servers(const ServerList& update, double now);
   void update_load(ServerId server, const Report& report, double now);
   void on_peer_news(const PeerNews& news, double now);
-  void drain() { draining_ = true; }  // new calls are refused from now on
-  // The process ends: each call that waits for its answer gets it now. What stands is left standing.
+  void drain() { draining_ = true; }  // refuses new calls from now on
+  // Called at the end of the process: answers every pending call and leaves established calls as they are.
   void answer_pending_calls(double now);
   void set_max_calls(std::uint32_t max_calls) { max_calls_ = max_calls; }
   void tick(double now) {
@@ -133,7 +135,7 @@
     double offered_at = 0;
   };
   std::vector<View> calls() const;
-  std::size_t pending() const { return calls_.size() - established_; }  // not answered yet
+  std::size_t pending() const { return calls_.size() - established_; }  // calls without an answer
   std::size_t established() const { return established_; }
   std::size_t timers() const { return timers_.size(); }
   const CallCounters& counters() const { return counters_; }
@@ -141,12 +143,12 @@
  private:
   struct Call {
     View::State state = View::State::kDeciding;
-    std::uint32_t attempts = 0;  // begun so far
+    std::uint32_t attempts = 0;  // started so far
     ServerId server = 0;         // of the last attempt
-    double sent = 0;
+    double attempt_sent_at = 0;
     double offered_at = 0;
-    net::TimerId give_up = 0;
-    net::TimerId overdue = 0;
+    net::TimerId give_up_timer = 0;
+    net::TimerId overdue_timer = 0;
   };
 
   double max_advised_wait() const { return settings_.gives_retry_after ? settings_.max_retry_after_s : 0; }
@@ -162,7 +164,7 @@
   void finish_setup(CallId id, const SetupResult& result, double now);
   void end_attempt(CallId id, Call& call, Outcome outcome, Cause cause, double told_wait_s,
                    const Report& report, double now);
-  // The core side has ended the call of an attempt whose answer was never seen: it ran, and is over.
+  // The core side ended the call of the current attempt before its answer arrived: the call ran and is over.
   void end_unanswered(CallId id, Call& call, const Report& report, double now);
   void end_established(CallId id, const Call& call, Outcome outcome, const Report& report, double now);
   void give_up(CallId id, std::uint32_t attempt);
@@ -178,9 +180,9 @@
   CallId last_call_id_ = 0;
   bool draining_ = false;
   bool processing_ = false;
-  std::deque<std::pair<double, Event>> queued_events_;  // told while another one is being carried out
+  std::deque<std::pair<double, Event>> queued_events_;  // received while another one is processed
   CallCounters counters_;
-  double timer_now_ = 0;
+  double timer_now_ = 0;  // time of the current or last tick
 };
 
 }  // namespace mintrock::edge
--- a/src/edge/core_sessions.cpp
+++ b/src/edge/core_sessions.cpp
@@ -47,8 +47,8 @@
   expire_later(hop_by_hop, now);
 }
 
-// A release that met no connection, or whose answer was lost with one, would leave its lines taken for good
-// at a server that only lost its connection.
+// If a release were dropped because there was no connection, or because its answer was lost with one, a
+// server that lost only its connection would hold the call's lines for good.
 void CoreSessions::queue_release(RecordPtr record, double now) {
   while (!pending_releases_.empty() &&
          (pending_releases_.front().expires_at <= now || pending_releases_.size() >= settings_.max_kept))
@@ -60,7 +60,7 @@
   const auto queued = std::find_if(queued_.begin(), queued_.end(), [&](const QueuedSetup& each) {
     return same_attempt(each.attempt, attempt);
   });
-  if (queued != queued_.end()) {  // never left: nothing to free
+  if (queued != queued_.end()) {  // never sent: the server holds nothing
     queued_.erase(queued);
     return false;
   }
@@ -74,7 +74,7 @@
 CoreSessions::Answer CoreSessions::on_answer(std::uint32_t hop_by_hop, const std::string& session_id,
                                              bool established) {
   const auto found = pending_requests_.find(hop_by_hop);
-  // An error answer may come without a session (RFC 6733 section 7.2).
+  // An error answer may lack the Session-Id (RFC 6733 section 7.2).
   const bool session_differs = !session_id.empty() && found != pending_requests_.end() &&
                                found->second.record->session_id != session_id;
   if (found == pending_requests_.end() || session_differs) return {};
@@ -85,8 +85,8 @@
   if (request.is_release) {
     out.kind = Answer::Kind::kRelease;
   } else if (request.given_up) {
-    // It was released already. If the server counts it as standing all the same, it must be freed again,
-    // unless the session is in use anew.
+    // The attempt has been released. If the server established the call nevertheless, it must be released
+    // again, unless the session ID is in use again.
     out.kind =
         established && session == sessions_.end() ? Answer::Kind::kLateEstablished : Answer::Kind::kLate;
   } else if (session != sessions_.end() && same_attempt(session->second.attempt, request.attempt)) {
@@ -115,7 +115,7 @@
   expiring_requests_.clear();
   std::vector<Attempt> out;
   for (const auto& [hop, each] : std::exchange(pending_requests_, {})) {
-    queue_release(each.record, now);  // it may stand there all the same: its answer may be lost
+    queue_release(each.record, now);  // it may be established, with the answer lost
     if (each.given_up) continue;
     const auto session = sessions_.find(each.record->session_id);
     if (session != sessions_.end()) erase_session(session);
@@ -129,14 +129,15 @@
 CoreSessions::Reconnection CoreSessions::on_connected(std::uint32_t origin_state, double now) {
   Reconnection out;
   hold_until_ = 0;
-  // At first contact it may be the process that another life of this proxy left calls at.
+  // On first contact, the server may hold calls that a previous process of this proxy set up.
   const bool first = origin_state_id_ == 0;
   const bool same_process = origin_state == std::exchange(origin_state_id_, origin_state) || first;
   if (!same_process) out.cut = cut_all(now);
   for (PendingRelease& each : std::exchange(pending_releases_, {})) {
     const bool session_in_use = sessions_.count(each.record->session_id) != 0;
     if (!same_process) {
-      out.obsolete_releases.push_back(std::move(each.record));  // with the process that held it
+      out.obsolete_releases.push_back(
+          std::move(each.record));  // its call ended with the process that held it
     } else if (each.expires_at > now && !session_in_use) {
       out.releases_to_send.push_back(std::move(each.record));
     }
@@ -165,14 +166,14 @@
   return out;
 }
 
-// ---- Small things ----
+// ---- Helpers ----
 
 void CoreSessions::erase_session(Sessions::iterator session) {
   established_ -= session->second.established ? 1 : 0;
   sessions_.erase(session);
 }
 
-// Nobody waits for the answer of its set-up any more, if it is still to come.
+// Marks the session's set-up as given up if its answer is still to come.
 void CoreSessions::give_up_setup(const Session& session, double now) {
   const auto found = pending_requests_.find(session.hop_by_hop);
   if (found == pending_requests_.end() || found->second.is_release) return;
@@ -180,7 +181,7 @@
   expire_later(session.hop_by_hop, now);
 }
 
-// Answers that nobody waits for are known for a while, and not more than a bound of them.
+// Keeps a given-up request for linger_s, and at most max_kept of them, to recognise its answer.
 void CoreSessions::expire_later(std::uint32_t hop_by_hop, double now) {
   expiring_requests_.emplace_back(now + settings_.linger_s, hop_by_hop);
   while (!expiring_requests_.empty()) {
@@ -198,7 +199,7 @@
   std::vector<Attempt> out;
   for (const auto& [session_id, session] : std::exchange(sessions_, {})) {
     out.push_back(session.attempt);
-    queue_release(session.record, now);  // the process may be alive, and hold its lines
+    queue_release(session.record, now);  // the process may be alive and hold the lines
   }
   established_ = 0;
   std::sort(out.begin(), out.end());
--- a/src/edge/core_side.cpp
+++ b/src/edge/core_side.cpp
@@ -47,7 +47,7 @@
   Server& server = *slot;
   server.entry = entry;
   if (entry.state != ServerEntry::State::kReady) {
-    // A set-up that waits for its connection must not go out once the connection stands (rule three).
+    // A server that is not ready gets nothing new, so a queued set-up must not be sent when it connects.
     end_attempts(server.sessions.drop_queued(), Outcome::kNotSent);
     schedule_timer(server);
     close_if_idle(server);
@@ -114,9 +114,9 @@
     transmit(*server, {call, attempt}, give_up_after_s, std::move(record));
     return SendResult::kAccepted;
   }
-  if (peer.open()) return SendResult::kNotSent;  // suspect: RFC 3539 sends nothing new there
+  if (peer.open()) return SendResult::kNotSent;  // SUSPECT: nothing new may be sent (RFC 3539)
   if (peer.state() == diameter::Peer::State::kClosing) return SendResult::kNoConnection;
-  // Waits for the connection, for a while: at start, and after a break, it is about to stand.
+  // At start and after a lost connection, the connection is usually about to be established: wait for it.
   server->link->start();
   server->sessions.queue_setup({call, attempt}, give_up_after_s, std::move(record), loop_.now());
   schedule_timer(*server);
@@ -134,11 +134,11 @@
 bool CoreSide::release(CallId call, std::uint32_t attempt, ServerId id, RecordPtr record) {
   Server* server = find(id);
   if (server == nullptr || record == nullptr) return false;
-  const bool sent = server->sessions.end_attempt({call, attempt}, record->session_id, loop_.now());
-  if (sent) send_release(*server, record);
+  const bool needs_release = server->sessions.end_attempt({call, attempt}, record->session_id, loop_.now());
+  if (needs_release) send_release(*server, record);
   schedule_timer(*server);
   close_if_idle(*server);
-  return sent;
+  return needs_release;
 }
 
 void CoreSide::send_release(Server& server, RecordPtr record) {
@@ -155,7 +155,7 @@
   RecordPtr shared;
   for (auto& [id, server] : servers_) {
     const bool named = server->entry.identity == identity;
-    // One that the list has taken off holds something only if it can still be asked.
+    // A server that has left the list can only hold the call if its connection is still open.
     const bool may_hold =
         server->entry.state != ServerEntry::State::kGone || (server->link && server->link->peer().open());
     if (!server->link || (!named && !(identity.empty() && may_hold))) continue;
@@ -174,7 +174,7 @@
   for (const auto& each : attempts) delegate_.core_ended(each.call, each.number, outcome_only(outcome));
 }
 
-// One timer for each server, at what its sessions wait for next.
+// Each server has one timer, set to the next deadline of its sessions.
 void CoreSide::schedule_timer(Server& server) {
   const double due = server.sessions.deadline();
   if (server.timer == net::TimerId() ? due > 1e15 : due == server.timer.when) return;
@@ -182,23 +182,23 @@
   if (due > 1e15) return;
   server.timer = loop_.timers().at(due, [this, &server] {
     server.timer = 0;
-    const CoreSessions::Expired over = server.sessions.tick(loop_.now());
-    end_attempts(over.no_connection, Outcome::kConnectFailed);
-    end_attempts(over.cut, Outcome::kReset);
+    const CoreSessions::Expired expired = server.sessions.tick(loop_.now());
+    end_attempts(expired.no_connection, Outcome::kConnectFailed);
+    end_attempts(expired.cut, Outcome::kReset);
     schedule_timer(server);
     close_if_idle(server);
   });
 }
 
-// A server that the list has taken off, and that holds nothing of ours, is not called any more.
+// Closes the connection to a server that has left the list and holds none of the proxy's calls.
 void CoreSide::close_if_idle(Server& server) {
   if (server.entry.state != ServerEntry::State::kGone || !server.link || server.sessions.in_use()) return;
-  // Not from within the link's own callback.
+  // Deferred: the link must not be stopped from within its own callback.
   loop_.defer([this, id = server.id] {
-    Server* again = find(id);
-    if (again == nullptr || again->entry.state != ServerEntry::State::kGone || again->sessions.in_use())
+    Server* found = find(id);
+    if (found == nullptr || found->entry.state != ServerEntry::State::kGone || found->sessions.in_use())
       return;
-    again->link->stop(diameter::DisconnectCause::kDoNotWantToTalk);
+    found->link->stop(diameter::DisconnectCause::kDoNotWantToTalk);
   });
 }
 
@@ -207,13 +207,13 @@
   const double now = loop_.now();
   CoreSessions::Reconnection reconnection =
       server.sessions.on_connected(server.link->peer().peer_origin_state(), now);
-  // Before anything new goes out: a session may be set up again under its old name.
+  // Releases go first: a call may be set up again under the same Session-Id.
   for (RecordPtr& each : reconnection.releases_to_send) send_release(server, std::move(each));
-  std::vector<CoreSessions::QueuedSetup> waiting = server.sessions.take_queued();
+  std::vector<CoreSessions::QueuedSetup> queued = server.sessions.take_queued();
   schedule_timer(server);
   end_attempts(reconnection.cut, Outcome::kReset);
   confirm_releases(reconnection.obsolete_releases);
-  for (CoreSessions::QueuedSetup& each : waiting) {
+  for (CoreSessions::QueuedSetup& each : queued) {
     if (server.entry.state != ServerEntry::State::kReady) {
       delegate_.core_ended(each.attempt.call, each.attempt.number, outcome_only(Outcome::kNotSent));
     } else {
@@ -224,32 +224,32 @@
 
 void CoreSide::on_down(Server& server, const std::string& why) {
   delegate_.core_event(server.entry.identity, "down", why);
-  const std::vector<CoreSessions::Attempt> over = server.sessions.on_connection_lost(loop_.now());
+  const std::vector<CoreSessions::Attempt> ended = server.sessions.on_connection_lost(loop_.now());
   schedule_timer(server);
   if (server.sessions.in_use()) {
-    // Tried at once: what stands there waits for it.
+    // Reconnect at once: established calls are held only for a limited time.
     loop_.defer([this, id = server.id] {
-      Server* again = find(id);
-      if (again != nullptr && again->link && !stopping_) again->link->start();
+      Server* found = find(id);
+      if (found != nullptr && found->link && !stopping_) found->link->start();
     });
   }
-  end_attempts(over, Outcome::kReset);
+  end_attempts(ended, Outcome::kReset);
   close_if_idle(server);
 }
 
-// What stands there is not cut for it: a process that takes no connections may still hold its sessions.
+// Established calls are not cut: a process that refuses connections may still hold its sessions.
 void CoreSide::on_refused(Server& server, const std::string& why) {
-  const std::vector<CoreSessions::Attempt> waiting = server.sessions.drop_queued();
+  const std::vector<CoreSessions::Attempt> dropped = server.sessions.drop_queued();
   schedule_timer(server);
-  if (!waiting.empty()) delegate_.core_event(server.entry.identity, "refused", why);
-  end_attempts(waiting, Outcome::kConnectFailed);
+  if (!dropped.empty()) delegate_.core_event(server.entry.identity, "refused", why);
+  end_attempts(dropped, Outcome::kConnectFailed);
   close_if_idle(server);
 }
 
 void CoreSide::on_message(Server& server, const diameter::MessageView& view) {
   if (!view.header.request()) return on_answer(server, view);
   if (view.header.command == diameter::kAbortSession) return on_abort(server, view);
-  // A core server sets no calls up here.
+  // Core servers don't set up calls through the proxy.
   server.link->send(
       diameter::error_answer(local_, view, diameter::kCommandUnsupported, {}, "not from this side"));
 }
@@ -257,33 +257,33 @@
 void CoreSide::on_answer(Server& server, const diameter::MessageView& view) {
   using Kind = CoreSessions::Answer::Kind;
   const CoreAnswer answer = read_core_answer(view);
-  const auto known = server.sessions.on_answer(view.header.hop_by_hop, session_of(view), answer.stands);
-  if (known.kind == Kind::kUnexpected) {
+  const auto match = server.sessions.on_answer(view.header.hop_by_hop, session_of(view), answer.stands);
+  if (match.kind == Kind::kUnexpected) {
     counters_.unexpected += 1;
     return;
   }
   if (answer.load) server.load = *answer.load;
-  switch (known.kind) {
+  switch (match.kind) {
     case Kind::kLateEstablished:
       counters_.late_established += 1;
-      send_release(server, known.record);
+      send_release(server, match.record);
       [[fallthrough]];
     case Kind::kLate:
       counters_.late += 1;
       return delegate_.core_load(server.id, answer);
     case Kind::kRelease:
-      // One that can't be carried out now is no confirmation: the caller says it again.
+      // A release that the server could not carry out is not confirmed: the caller will repeat the request.
       if (group_of(answer.result) == ResultGroup::kProtocolError ||
           group_of(answer.result) == ResultGroup::kTransient) {
         return;
       }
-      return delegate_.core_release_confirmed(known.record->session_id, answer.stands);
+      return delegate_.core_release_confirmed(match.record->session_id, answer.stands);
     case Kind::kSetup:
       if (const auto warning = server.answers.record_answer(loop_.now(), answer.result, answer.failed_avp)) {
         delegate_.core_errors(server.entry.identity, *warning);
       }
-      if (answer.stands) return delegate_.core_established(known.attempt.call, known.attempt.number, answer);
-      return delegate_.core_ended(known.attempt.call, known.attempt.number, answer);
+      if (answer.stands) return delegate_.core_established(match.attempt.call, match.attempt.number, answer);
+      return delegate_.core_ended(match.attempt.call, match.attempt.number, answer);
     default:
       return;
   }
--- a/src/edge/core_side.hpp
+++ b/src/edge/core_side.hpp
@@ -1,7 +1,8 @@
-// The core servers as this proxy's peers: one connection each, set-ups and releases out, answers and cuts in.
+// The proxy's Diameter connections to the core servers, one each: sends set-ups and releases, receives
+// answers and aborts.
 //
-// Nothing is decided here: core_sessions says what each server may hold, what is owed to it and what has
-// ended, and that is told through CoreSideDelegate, once for each attempt.
+// Makes no decisions: CoreSessions tracks what each server may hold, which releases are pending and what has
+// ended, and CoreSide reports the end of each attempt once through CoreSideDelegate.
 #ifndef MINTROCK_SRC_EDGE_CORE_SIDE_HPP_
 #define MINTROCK_SRC_EDGE_CORE_SIDE_HPP_
 
@@ -21,25 +22,26 @@
 
 namespace mintrock::edge {
 
+// Receives the events of the core side.
 class CoreSideDelegate {
  public:
   virtual ~CoreSideDelegate() = default;
   virtual void core_established(CallId call, std::uint32_t attempt, const CoreAnswer& answer) = 0;
   virtual void core_ended(CallId call, std::uint32_t attempt, const CoreAnswer& answer) = 0;
   virtual void core_load(ServerId server, const CoreAnswer& answer) = 0;
-  // A release is confirmed: the server has ended the session, or knows of none (`ended` false).
+  // A release is confirmed: the server has ended the session, or (`ended` false) does not know it.
   virtual void core_release_confirmed(const std::string& session, bool ended) = 0;
-  // A server answers errors; rate-limited.
+  // A server answers with errors; rate-limited.
   virtual void core_errors(const std::string& server, const AnswerMonitor::Warning& warning) = 0;
-  // One line of the log about a server's connection.
+  // An event of a server's connection, to be logged.
   virtual void core_event(const std::string& server, const char* event, const std::string& detail) = 0;
 };
 
 struct CoreCounters {
-  std::uint64_t unexpected = 0;        // answers to no request, or second ones
-  std::uint64_t late = 0;              // answers of attempts that were given up
-  std::uint64_t late_established = 0;  // of those, ones that said the call stands: released again
-  std::uint64_t malformed = 0;         // malformed
+  std::uint64_t unexpected = 0;        // unsolicited or duplicate answers
+  std::uint64_t late = 0;              // answers to attempts that were given up
+  std::uint64_t late_established = 0;  // of those, answers that established the call; it was released again
+  std::uint64_t malformed = 0;         // malformed messages
 };
 
 class CoreSide {
@@ -48,20 +50,20 @@
            CoreSideDelegate& delegate);
   ~CoreSide();
 
-  // What the list says of a server. One that is ready is connected to at once.
+  // Applies a server's entry in the server list. A server that is ready is connected to at once.
   void update_server(ServerId server, const list::Entry& entry);
   SendResult send_setup(CallId call, std::uint32_t attempt, ServerId server, double give_up_after_s,
                         RecordPtr record);
-  // True: the server is sent a release, now or once it can be, and `core_release_confirmed` tells when it is
-  // confirmed.
+  // Returns true if a release is sent to the server, now or once it is connected; core_release_confirmed()
+  // reports its confirmation.
   bool release(CallId call, std::uint32_t attempt, ServerId server, RecordPtr record);
-  // The end of a call that another proxy set up, at the server of that name; an empty one asks all that may
-  // hold it. How many are asked.
+  // Forwards the end of a call that another proxy set up to the server of that name; with an empty name, to
+  // all servers that may hold the call. Returns how many servers are asked.
   std::uint32_t forward_termination(const std::string& server, const CallRecord& record);
-  // An accepted connection whose CER names one of the core servers; false: it names none.
+  // Takes over an accepted connection if its CER names a core server; returns false if it names none.
   bool adopt_connection(const std::shared_ptr<net::Stream>& stream, const diameter::MessageView& cer,
                         std::string_view rest);
-  // DPR to all. `closed()` tells when all have gone.
+  // Sends DPR to all servers; closed() returns true once all connections are closed.
   void stop();
   bool closed() const;
 
@@ -72,7 +74,7 @@
     std::size_t in_flight = 0;
     std::size_t established = 0;
     double load = -1;
-    const AnswerMonitor* answers = nullptr;  // lives as long as this
+    const AnswerMonitor* answers = nullptr;  // owned by the CoreSide
   };
   std::vector<View> servers() const;
   const CoreCounters& counters() const { return counters_; }
@@ -84,7 +86,7 @@
     list::Entry entry;
     std::unique_ptr<PeerLink> link;
     CoreSessions sessions;
-    net::TimerId timer = 0;  // of the sessions' deadline
+    net::TimerId timer = 0;  // for sessions.deadline()
     double load = -1;
     AnswerMonitor answers;
   };
--- a/src/edge/front.hpp
+++ b/src/edge/front.hpp
@@ -1,5 +1,5 @@
-// What every front has in common, whatever protocol it speaks: it offers calls to the desk and is told, once,
-// what became of each.
+// Interfaces between the protocol front ends of the caller side and the proxy: a front end offers calls and
+// receives the result of each exactly once.
 #ifndef MINTROCK_SRC_EDGE_FRONT_HPP_
 #define MINTROCK_SRC_EDGE_FRONT_HPP_
 
@@ -12,35 +12,37 @@
 
 namespace mintrock::edge {
 
-// The side of the program that fronts talk to.
+// The services that the proxy provides to front ends.
 class FrontDelegate {
  public:
   virtual ~FrontDelegate() = default;
   virtual CallId next_call_id() = 0;
-  // Whether the request is served here at all; else its answer: a realm that is not served, and, of set-ups,
-  // an unknown class.
+  // Return the error to answer with if the proxy does not serve the request: its realm is not served or, for
+  // set-ups, its class is unknown.
   virtual std::optional<diameter::Fault> validate_realm(const CallRecord& record) = 0;
   virtual std::optional<diameter::Fault> validate_setup(const CallRecord& record) = 0;
-  // Takes a call over and offers it to the desk; the front's `answer` comes once, maybe before this returns.
-  //
+  // Takes over a call and offers it to the call manager; calls front.answer() once, possibly before
+  // returning.
   virtual void offer(class Front& front, CallId call, RecordPtr record, bool peer_reopening) = 0;
-  // The caller ends the call, or waits no more. True: a core server is to confirm it, see Front::released.
+  // The caller ends the call, or abandons it while pending. Returns true if a core server will confirm the
+  // end with Front::on_release_confirmed().
   virtual bool hang_up(CallId call) = 0;
-  // A call that this proxy doesn't know ends at the core server that it names; where it names none, all are
-  // asked. How many are to confirm it.
+  // Ends a call that is unknown to this proxy at the core server that the record names, or at all of them if
+  // it names none. Returns how many servers will confirm the end.
   virtual std::uint32_t forward_termination(const CallRecord& record) = 0;
   virtual const std::string& identity_of(ServerId server) = 0;
-  // What a core server answered to the call's last attempt; where its verdict is kRejected.
+  // The core server's answer to the call's last attempt, where the result is kRejected.
   virtual const CoreAnswer& rejection_of(CallId call) = 0;
 };
 
+// A protocol front end.
 class Front {
  public:
   virtual ~Front() = default;
   virtual void answer(CallId call, const SetupResult& result) = 0;
-  virtual void cut(CallId call) = 0;     // it stood, and the core side ended it
-  virtual void forget(CallId call) = 0;  // nothing more comes for it
-  // A core server confirms the end of a session: it has ended it, or knows of none.
+  virtual void cut(CallId call) = 0;     // the core side ended the established call
+  virtual void forget(CallId call) = 0;  // no further callback follows
+  // A core server confirms the end of a session: it has ended it, or (`ended` false) does not know it.
   virtual void on_release_confirmed(const std::string& session, bool ended) = 0;
 };
 
--- a/src/edge/pending_terminations.hpp
+++ b/src/edge/pending_terminations.hpp
@@ -1,10 +1,11 @@
-// Ends of calls that callers asked for and core servers have not confirmed yet.
+// Terminations that callers requested and core servers have not confirmed yet.
 //
-// A caller is told that its call has ended once the core side has said so: an end that is lost on the way,
-// with the proxy or with a connection, stays unanswered and comes again (RFC 6733 section 5.5.4), through
-// whatever proxy. An end whose server nobody names is asked of several; it is over when all have answered.
+// The caller gets a success answer only after the core side has confirmed the end. A termination that is lost
+// together with the proxy or a connection stays unanswered, so the caller sends it again, possibly through
+// another proxy (RFC 6733 section 5.5.4). If the request does not name the core server, several are asked;
+// the termination completes when one of them has ended the session or all of them have answered.
 //
-// Pure: events and times in; at most `most` at once.
+// Does no I/O and reads no clock. The owner keeps the number of entries at `max_size` by checking full().
 #ifndef MINTROCK_SRC_EDGE_PENDING_TERMINATIONS_HPP_
 #define MINTROCK_SRC_EDGE_PENDING_TERMINATIONS_HPP_
 
@@ -20,11 +21,11 @@
 
 namespace mintrock::edge {
 
-// What the caller's request must be answered with, kept until then.
+// A caller's termination request with what is needed to answer it.
 struct TerminationRequest {
-  std::string peer;     // whom it came from
-  std::string request;  // its bytes
-  std::string success;  // its answer, if all goes well
+  std::string peer;     // the caller it came from
+  std::string request;  // the encoded request
+  std::string success;  // the encoded answer for success
 };
 
 class PendingTerminations {
@@ -34,52 +35,55 @@
   bool full() const { return pending_.size() >= max_size_; }
   std::size_t size() const { return pending_.size(); }
 
-  // An end is on its way to so many core servers. `known`: the call was this proxy's own, so it has ended
-  // whatever they say. An end that is under way already goes on, for the latest request.
+  // Records a termination that has been sent to `servers` core servers. `ended_locally`: the call belonged to
+  // this proxy, so it has ended whatever the servers answer. If the session's termination is pending already,
+  // only the request to answer is replaced.
   void add(const std::string& session, TerminationRequest request, std::uint32_t servers, bool ended_locally,
            double now) {
-    const auto [at, inserted] = pending_.try_emplace(session);
-    at->second.request = std::move(request);
+    const auto [entry, inserted] = pending_.try_emplace(session);
+    entry->second.request = std::move(request);
     if (!inserted) return;
-    at->second.awaited = servers;
-    at->second.ended = ended_locally;
-    at->second.serial = ++last_serial_;
+    entry->second.awaited = servers;
+    entry->second.ended = ended_locally;
+    entry->second.serial = ++last_serial_;
     deadlines_.push_back({now + timeout_s_, last_serial_, session});
   }
-  // The same end again, while it is under way: answered once, to the later request. False: not known.
+  // A repeated request for a pending termination: only the latest request is answered. Returns false if none
+  // is pending for the session.
   bool replace_request(const std::string& session, TerminationRequest& request) {
-    const auto at = pending_.find(session);
-    if (at == pending_.end()) return false;
-    at->second.request = std::move(request);
+    const auto entry = pending_.find(session);
+    if (entry == pending_.end()) return false;
+    entry->second.request = std::move(request);
     return true;
   }
 
   struct Completed {
     TerminationRequest request;
-    bool ended = false;  // some server held it and has ended it; else none knew it
+    bool ended = false;  // false: no server knew the session
   };
-  // A core server answered: it has ended the session, or does not know it. The end, if it is over by that.
+  // A core server answered: it has ended the session, or (`ended` false) does not know it. Returns the
+  // termination if this completes it.
   std::optional<Completed> confirm(const std::string& session, bool ended) {
-    const auto at = pending_.find(session);
-    if (at == pending_.end()) return std::nullopt;
-    at->second.ended |= ended;
-    if (--at->second.awaited > 0 && !at->second.ended) return std::nullopt;
-    Completed out{std::move(at->second.request), at->second.ended};
-    pending_.erase(at);
+    const auto entry = pending_.find(session);
+    if (entry == pending_.end()) return std::nullopt;
+    entry->second.ended |= ended;
+    if (--entry->second.awaited > 0 && !entry->second.ended) return std::nullopt;
+    Completed out{std::move(entry->second.request), entry->second.ended};
+    pending_.erase(entry);
     return out;
   }
 
   double deadline() const {
-    return deadlines_.empty() ? std::numeric_limits<double>::infinity() : deadlines_.front().at;
+    return deadlines_.empty() ? std::numeric_limits<double>::infinity() : deadlines_.front().due;
   }
-  // Those that nobody confirmed in time.
+  // Removes and returns the requests that were not confirmed in time.
   std::vector<TerminationRequest> take_expired(double now) {
     std::vector<TerminationRequest> out;
-    while (!deadlines_.empty() && deadlines_.front().at <= now) {
-      const auto at = pending_.find(deadlines_.front().session);
-      if (at != pending_.end() && at->second.serial == deadlines_.front().serial) {
-        out.push_back(std::move(at->second.request));
-        pending_.erase(at);
+    while (!deadlines_.empty() && deadlines_.front().due <= now) {
+      const auto entry = pending_.find(deadlines_.front().session);
+      if (entry != pending_.end() && entry->second.serial == deadlines_.front().serial) {
+        out.push_back(std::move(entry->second.request));
+        pending_.erase(entry);
       }
       deadlines_.pop_front();
     }
@@ -89,12 +93,12 @@
  private:
   struct Pending {
     TerminationRequest request;
-    std::uint32_t awaited = 0;
+    std::uint32_t awaited = 0;  // answers still to come
     bool ended = false;
-    std::uint64_t serial = 0;
+    std::uint64_t serial = 0;  // distinguishes it from earlier terminations of the session
   };
   struct Deadline {
-    double at;
+    double due;
     std::uint64_t serial;
     std::string session;
   };
--- a/src/edge/request_routing.cpp
+++ b/src/edge/request_routing.cpp
@@ -7,7 +7,8 @@
 namespace mintrock::edge {
 namespace {
 
-// Service-Identifier as Failed-AVP wants it: as it came, or with a minimal value (RFC 6733 section 7.5).
+// Encodes a Service-Identifier for Failed-AVP: as received or, if it was missing, with a minimal value (RFC
+// 6733 section 7.5).
 std::string service_identifier(std::uint32_t value) {
   diameter::Builder builder(diameter::Header{});
   builder.u32(diameter::avp::kServiceIdentifier, value);
--- a/src/edge/request_routing.hpp
+++ b/src/edge/request_routing.hpp
@@ -1,7 +1,8 @@
-// Whether a request is this node's to serve, and as what: realms (RFC 6733 sections 2.7 and 6.1), hosts,
-// classes of calls.
+// Decides whether this node serves a request, by its realm (RFC 6733 sections 2.7 and 6.1), and which class a
+// call belongs to.
 //
-// Pure: a record and the told tables in, a place among the classes or an error answer out.
+// Does no I/O and reads no clock: takes a record and the configured tables, and returns the index of a class
+// or an error.
 #ifndef MINTROCK_SRC_EDGE_REQUEST_ROUTING_HPP_
 #define MINTROCK_SRC_EDGE_REQUEST_ROUTING_HPP_
 
@@ -16,11 +17,12 @@
 
 namespace mintrock::edge {
 
-// The realm routing table. Names are compared without case, as host names are.
+// The realm routing table. Realms are compared case-insensitively, as host names are.
 class RealmTable {
  public:
   enum class Action { kLocal, kRefuse };
-  // `own`: this node's realm, local unless the table says otherwise. What is not in the table is `others`.
+  // `own`: this node's realm, local unless the table says otherwise. Realms that are not in the table get
+  // `default_action`.
   RealmTable(const std::string& own, const std::map<std::string, Action>& table, Action default_action);
   Action action_of(std::string_view realm) const;
   static std::string case_folded(std::string_view realm);
@@ -30,18 +32,18 @@
   Action default_action_;
 };
 
-// The classes by Service-Identifier, and what becomes of a call that names none of them.
+// Maps Service-Identifiers to classes, with an optional class for calls that name none of them.
 struct ClassTable {
-  std::map<std::uint32_t, std::uint32_t> by_service;  // place among the classes
-  std::optional<std::uint32_t> fallback;              // unknown or missing: taken as this one; none: refused
+  std::map<std::uint32_t, std::uint32_t> by_service;  // index of the class
+  std::optional<std::uint32_t> fallback;  // class of calls with an unknown or no identifier; none: refused
 };
 
-// Nothing if the request is served here; else the answer: 3003 for a realm that is not served.
+// Returns nothing if the realm is served, else the error to answer with (3003).
 std::optional<diameter::Fault> check_realm(const RealmTable& realms, std::string_view realm);
 
 struct ClassMatch {
   std::uint32_t index = 0;
-  bool assumed = false;                  // it named none, or an unknown one
+  bool assumed = false;                  // no known identifier: `index` is the fallback, or `fault` is set
   std::optional<diameter::Fault> fault;  // 5004 (unknown) or 5005 (missing), with Failed-AVP
 };
 ClassMatch match_class(const ClassTable& classes, const CallRecord& call);
