--- a/tests/edge/call_manager_test.cpp
+++ b/tests/edge/call_manager_test.cpp
@@ -293,8 +293,8 @@
     std::mt19937_64 random(seed);
     Harness h(40);
     h.set_servers({kReady, kReady, kReady}, 0);
-    std::map<CallId, std::pair<std::uint32_t, bool>>
-        core_calls;  // the last attempt and whether it is in flight, as the core side sees it
+    // The last attempt and whether it is in flight, as the core side sees it.
+    std::map<CallId, std::pair<std::uint32_t, bool>> core_calls;
     double now = 0;
     std::vector<CallId> all;
     std::size_t checked = 0;
--- a/tests/edge/request_routing_test.cpp
+++ b/tests/edge/request_routing_test.cpp
@@ -1,4 +1,4 @@
-// Realms and classes: what is served here, as what, and what is answered otherwise.
+// Which realms are served, which class a call gets, and which errors answer the rest.
 #include "edge/request_routing.hpp"
 
 #include <gtest/gtest.h>
@@ -9,11 +9,11 @@
 namespace mintrock::edge {
 namespace {
 
-TEST(RealmTable, TheOwnOneIsServedOthersByTheTable) {
+TEST(RealmTable, TheOwnRealmIsServedAndOthersAsTheTableSays) {
   const RealmTable realms(
       "Own.test", {{"guest.test", RealmTable::Action::kLocal}, {"x.test", RealmTable::Action::kRefuse}},
       RealmTable::Action::kRefuse);
-  EXPECT_FALSE(check_realm(realms, "own.TEST")) << "names of hosts have no case";
+  EXPECT_FALSE(check_realm(realms, "own.TEST")) << "realms are case-insensitive";
   EXPECT_FALSE(check_realm(realms, "Guest.test"));
   for (const char* other : {"x.test", "other.test", "", "test"}) {
     const auto fault = check_realm(realms, other);
@@ -23,7 +23,7 @@
   EXPECT_FALSE(check_realm(RealmTable("a", {}, RealmTable::Action::kLocal), "any"));
   EXPECT_TRUE(
       check_realm(RealmTable("a", {{"a", RealmTable::Action::kRefuse}}, RealmTable::Action::kLocal), "a"))
-      << "a gateway may serve others' realms alone";
+      << "a gateway may serve only other realms";
 }
 
 CallRecord call(std::optional<std::uint32_t> service) {
@@ -32,7 +32,7 @@
   return record;
 }
 
-TEST(Classes, AnUnknownOrMissingOneIsRefusedNamingTheAvp) {
+TEST(Classes, AnUnknownOrMissingServiceIdentifierIsRefusedNamingTheAvp) {
   ClassTable classes;
   classes.by_service = {{7, 0}, {9, 1}};
   EXPECT_EQ(match_class(classes, call(9)).index, 1u);
@@ -47,7 +47,7 @@
   EXPECT_EQ(describe_failed_avp(missing.fault->failed_avp), "Service-Identifier (439)");
 }
 
-TEST(Classes, OrTakenAsTheOneThatIsTold) {
+TEST(Classes, AnUnknownOrMissingServiceIdentifierGetsTheFallbackClass) {
   ClassTable classes;
   classes.by_service = {{7, 0}, {9, 1}};
   classes.fallback = 1;
