--- a/src/edge/call_manager.hpp
+++ b/src/edge/call_manager.hpp
@@ -120,13 +120,16 @@
   // Called at the end of the process: answers every pending call and leaves established calls as they are.
   void answer_pending_calls(double now);
   void set_max_calls(std::uint32_t max_calls) { max_calls_ = max_calls; }
+  // Runs the timers that are due; the next one is due at deadline().
   void tick(double now) {
     timer_now_ = now;
     timers_.run(now);
   }
   double deadline() const { return timers_.next(); }
 
+  // A snapshot of a call, for the admin interface.
   struct View {
+    // kDeciding: no attempt is in flight; the Controller decides what comes next.
     enum class State { kDeciding, kInFlight, kEstablished };
     CallId call = 0;
     State state = State::kDeciding;
--- a/src/edge/core_sessions.hpp
+++ b/src/edge/core_sessions.hpp
@@ -36,15 +36,15 @@
 
   struct Attempt {
     CallId call = 0;
-    std::uint32_t number = 0;
+    std::uint32_t number = 0;  // of the attempt within its call, from 0
     bool operator<(const Attempt& other) const {
       return call != other.call ? call < other.call : number < other.number;
     }
   };
   struct QueuedSetup {
     Attempt attempt;
-    double give_up_at = 0;
-    double wait_until = 0;
+    double give_up_at = 0;  // when the call manager gives the attempt up
+    double wait_until = 0;  // when waiting for the connection ends
     RecordPtr record;
   };
 
