--- a/src/edge/config.cpp
+++ b/src/edge/config.cpp
@@ -61,10 +61,10 @@
   from.read("realm", realm);
   from.require("action");
   from.read_choice("action", {"local", "refuse"}, action);
-  const auto realm_action = action == 0 ? Realms::Action::kLocal : Realms::Action::kRefuse;
+  const auto realm_action = action == 0 ? RealmTable::Action::kLocal : RealmTable::Action::kRefuse;
   if (realm == "*") {
     out.other_realms = realm_action;
-  } else if (!out.realms.emplace(Realms::folded(realm), realm_action).second) {
+  } else if (!out.realms.emplace(RealmTable::case_folded(realm), realm_action).second) {
     from.fail("realm", realm + " is listed twice");
   }
 }
@@ -156,7 +156,7 @@
   choices.emplace_back("refuse");
   std::size_t unknown = names.size();
   top.read_choice("unknown_class", choices, unknown);
-  if (unknown < names.size()) out.classes.unknown = static_cast<std::uint32_t>(unknown);
+  if (unknown < names.size()) out.classes.fallback = static_cast<std::uint32_t>(unknown);
   top.sections("realms", [&](config::Section& from) { read_realm(from, out); });
   top.section("rules", [&](config::Section& from) { read_rules(from, s); });
   s.gives_retry_after = s.max_retry_after_s > 0;
@@ -192,7 +192,7 @@
                     a.core.session_hold_s == b.core.session_hold_s && a.core.linger_s == b.core.linger_s &&
                     a.core.max_unsent == b.core.max_unsent);
   check("realms", a.realms == b.realms && a.other_realms == b.other_realms);
-  check("unknown_class", a.classes.unknown == b.classes.unknown);
+  check("unknown_class", a.classes.fallback == b.classes.fallback);
   check("callers", a.callers.end_wait_s == b.callers.end_wait_s &&
                        a.callers.duplicates_s == b.callers.duplicates_s &&
                        a.callers.max_duplicates == b.callers.max_duplicates);
--- a/src/edge/core_side.hpp
+++ b/src/edge/core_side.hpp
@@ -1,7 +1,8 @@
-// The core servers as this proxy's peers: one connection each, set-ups and releases out, answers and cuts in.
+// The proxy's Diameter connections to the core servers, one each: sends set-ups and releases, receives
+// answers and aborts.
 //
-// Nothing is decided here: core_sessions says what each server may hold, what is owed to it and what has
-// ended, and that is told through CorePorts, once for each attempt.
+// Makes no decisions: CoreSessions tracks what each server may hold, which releases are pending and what has
+// ended, and CoreSide reports the end of each attempt once through CoreSideDelegate.
 #ifndef MINTROCK_SRC_EDGE_CORE_SIDE_HPP_
 #define MINTROCK_SRC_EDGE_CORE_SIDE_HPP_
 
@@ -11,8 +12,8 @@
 #include <string>
 #include <vector>
 
-#include "edge/answer_watch.hpp"
-#include "edge/call_desk.hpp"
+#include "edge/answer_monitor.hpp"
+#include "edge/call_manager.hpp"
 #include "edge/config.hpp"
 #include "edge/core_sessions.hpp"
 #include "edge/credit_control.hpp"
@@ -21,47 +22,48 @@
 
 namespace mintrock::edge {
 
-class CorePorts {
+// Receives the events of the core side.
+class CoreSideDelegate {
  public:
-  virtual ~CorePorts() = default;
-  virtual void core_stood(CallId call, std::uint32_t attempt, const CoreAnswer& answer) = 0;
+  virtual ~CoreSideDelegate() = default;
+  virtual void core_established(CallId call, std::uint32_t attempt, const CoreAnswer& answer) = 0;
   virtual void core_ended(CallId call, std::uint32_t attempt, const CoreAnswer& answer) = 0;
   virtual void core_load(ServerId server, const CoreAnswer& answer) = 0;
-  // A release is confirmed: the server has ended the session, or knows of none (`ended` false).
-  virtual void core_released(const std::string& session, bool ended) = 0;
-  // A server answers errors; rate-limited.
-  virtual void core_errors(const std::string& server, const AnswerWatch::Warning& warning) = 0;
-  // One line of the log about a server's connection.
+  // A release is confirmed: the server has ended the session, or (`ended` false) does not know it.
+  virtual void core_release_confirmed(const std::string& session, bool ended) = 0;
+  // A server answers with errors; rate-limited.
+  virtual void core_errors(const std::string& server, const AnswerMonitor::Warning& warning) = 0;
+  // An event of a server's connection, to be logged.
   virtual void core_event(const std::string& server, const char* event, const std::string& detail) = 0;
 };
 
-struct CoreCounts {
-  std::uint64_t unexpected = 0;  // answers to no request, or second ones
-  std::uint64_t late = 0;        // answers of attempts that were given up
-  std::uint64_t late_stood = 0;  // of those, ones that said the call stands: released again
-  std::uint64_t bad = 0;         // malformed
+struct CoreCounters {
+  std::uint64_t unexpected = 0;        // unsolicited or duplicate answers
+  std::uint64_t late = 0;              // answers to attempts that were given up
+  std::uint64_t late_established = 0;  // of those, answers that established the call; it was released again
+  std::uint64_t malformed = 0;         // malformed messages
 };
 
 class CoreSide {
  public:
   CoreSide(net::Loop& loop, const diameter::LocalNode& local, const Config& config, std::uint64_t seed,
-           CorePorts& ports);
+           CoreSideDelegate& delegate);
   ~CoreSide();
 
-  // What the list says of a server. One that is ready is connected to at once.
-  void update(ServerId server, const list::Entry& entry);
-  Handover send_setup(CallId call, std::uint32_t attempt, ServerId server, double give_up_after_s,
-                      RecordPtr record);
-  // True: the server is sent a release, now or once it can be, and `core_released` tells when it is
-  // confirmed.
+  // Applies a server's entry in the server list. A server that is ready is connected to at once.
+  void update_server(ServerId server, const list::Entry& entry);
+  SendResult send_setup(CallId call, std::uint32_t attempt, ServerId server, double give_up_after_s,
+                        RecordPtr record);
+  // Returns true if a release is sent to the server, now or once it is connected; core_release_confirmed()
+  // reports its confirmation.
   bool release(CallId call, std::uint32_t attempt, ServerId server, RecordPtr record);
-  // The end of a call that another proxy set up, at the server of that name; an empty one asks all that may
-  // hold it. How many are asked.
-  std::uint32_t pass_termination(const std::string& server, const CallRecord& record);
-  // An accepted connection whose CER names one of the core servers; false: it names none.
-  bool offer_connection(const std::shared_ptr<net::Stream>& stream, const diameter::MessageView& cer,
+  // Forwards the end of a call that another proxy set up to the server of that name; with an empty name, to
+  // all servers that may hold the call. Returns how many servers are asked.
+  std::uint32_t forward_termination(const std::string& server, const CallRecord& record);
+  // Takes over an accepted connection if its CER names a core server; returns false if it names none.
+  bool adopt_connection(const std::shared_ptr<net::Stream>& stream, const diameter::MessageView& cer,
                         std::string_view rest);
-  // DPR to all. `closed()` tells when all have gone.
+  // Sends DPR to all servers; closed() returns true once all connections are closed.
   void stop();
   bool closed() const;
 
@@ -69,13 +71,13 @@
     std::string identity;
     std::string state;
     std::string watchdog;
-    std::size_t out = 0;
-    std::size_t standing = 0;
+    std::size_t in_flight = 0;
+    std::size_t established = 0;
     double load = -1;
-    const AnswerWatch* answers = nullptr;  // lives as long as this
+    const AnswerMonitor* answers = nullptr;  // owned by the CoreSide
   };
   std::vector<View> servers() const;
-  const CoreCounts& counts() const { return counts_; }
+  const CoreCounters& counters() const { return counters_; }
 
  private:
   struct Server {
@@ -84,19 +86,19 @@
     list::Entry entry;
     std::unique_ptr<PeerLink> link;
     CoreSessions sessions;
-    net::TimerId timer = 0;  // of the sessions' deadline
+    net::TimerId timer = 0;  // for sessions.deadline()
     double load = -1;
-    AnswerWatch answers;
+    AnswerMonitor answers;
   };
 
   Server* find(ServerId id);
   void make_link(Server& server);
-  void transmit(Server& server, CoreSessions::Attempt who, double give_up_after_s, RecordPtr record);
+  void transmit(Server& server, CoreSessions::Attempt attempt, double give_up_after_s, RecordPtr record);
   void send_release(Server& server, RecordPtr record);
-  void released(const std::vector<RecordPtr>& records);
-  void end(const std::vector<CoreSessions::Attempt>& attempts, Outcome outcome);
-  void watch(Server& server);
-  void rest(Server& server);
+  void confirm_releases(const std::vector<RecordPtr>& records);
+  void end_attempts(const std::vector<CoreSessions::Attempt>& attempts, Outcome outcome);
+  void schedule_timer(Server& server);
+  void close_if_idle(Server& server);
   void on_up(Server& server);
   void on_down(Server& server, const std::string& why);
   void on_refused(Server& server, const std::string& why);
@@ -108,9 +110,9 @@
   const diameter::LocalNode& local_;
   const Config& config_;
   std::uint64_t seed_;
-  CorePorts& ports_;
+  CoreSideDelegate& delegate_;
   std::map<ServerId, std::unique_ptr<Server>> servers_;
-  CoreCounts counts_;
+  CoreCounters counters_;
   bool stopping_ = false;
 };
 
--- a/src/edge/diameter_front.cpp
+++ b/src/edge/diameter_front.cpp
@@ -21,7 +21,7 @@
 
 DiameterFront::DiameterFront(
     net::Loop& loop, const diameter::LocalNode& local, const Config& config, std::uint64_t seed,
-    Switchboard& switchboard,
+    FrontDelegate& switchboard,
     std::function<bool(const std::shared_ptr<net::Stream>&, const MessageView&, std::string_view)>
         offer_to_core_side,
     std::function<void(const std::string&, const char*, const std::string&)> log_connection_event)
@@ -242,14 +242,14 @@
         error_answer(local_, view, diameter::kUnableToComply, {}, "this session is a call already"));
     return;
   }
-  if (const auto fault = switchboard_.refusal_of_setup(*record)) {
+  if (const auto fault = switchboard_.validate_setup(*record)) {
     std::string bytes = error_answer(local_, view, fault->result_code, fault->failed_avp, fault->text);
     duplicates_.answered(record->origin_host, record->end_to_end, bytes);
     caller.link->send(std::move(bytes));
     return;
   }
   // Register the call before it is offered: the answer may come before offer() returns.
-  const CallId id = switchboard_.next_call();
+  const CallId id = switchboard_.next_call_id();
   calls_[id] = {record, &caller, false, false};
   call_by_session_[record->session_id] = id;
   caller.calls.insert(id);
@@ -258,8 +258,8 @@
 
 void DiameterFront::on_termination(Caller& caller, const MessageView& view) {
   const std::string session = session_of(view);
-  EndRequest end{caller.host, frame_of(view), write_success(view, local_)};
-  if (pending_ends_.repeated(session, end)) return;
+  TerminationRequest end{caller.host, frame_of(view), write_success(view, local_)};
+  if (pending_ends_.replace_request(session, end)) return;
   const auto found = call_by_session_.find(session);
   if (found != call_by_session_.end()) {
     const CallId id = found->second;
@@ -283,7 +283,7 @@
   // The call was set up through another proxy, or through this one before a restart. The request names the
   // core server that holds it.
   const CallRecord record = read_setup(view, caller.host);
-  if (const auto fault = switchboard_.refusal_of_realm(record)) {
+  if (const auto fault = switchboard_.validate_realm(record)) {
     caller.link->send(error_answer(local_, view, fault->result_code, fault->failed_avp, fault->text));
     return;
   }
@@ -291,31 +291,31 @@
     caller.link->send(error_answer(local_, view, diameter::kTooBusy, {}, "too many ends under way"));
     return;
   }
-  if (const std::uint32_t asked = switchboard_.pass_termination(record)) {
+  if (const std::uint32_t asked = switchboard_.forward_termination(record)) {
     await_confirmation(caller, std::move(end), session, asked, false);
   } else {
     caller.link->send(error_answer(local_, view, diameter::kUnknownSessionId, {}, "no such call"));
   }
 }
 
-void DiameterFront::await_confirmation(Caller& caller, EndRequest request, const std::string& session,
+void DiameterFront::await_confirmation(Caller& caller, TerminationRequest request, const std::string& session,
                                        std::uint32_t servers, bool known) {
   if (pending_ends_.full()) {  // the release is sent, but its confirmation can't be awaited
     caller.link->send(std::move(request.success));
     return;
   }
-  pending_ends_.begin(session, std::move(request), servers, known, loop_.now());
+  pending_ends_.add(session, std::move(request), servers, known, loop_.now());
   schedule_ends_timer();
 }
 
-void DiameterFront::released(const std::string& session, bool ended) {
-  const auto completed = pending_ends_.confirmed(session, ended);
+void DiameterFront::on_release_confirmed(const std::string& session, bool ended) {
+  const auto completed = pending_ends_.confirm(session, ended);
   if (!completed) return;
   if (completed->ended) return send_if_connected(completed->request.peer, completed->request.success);
   answer_termination(completed->request, diameter::kUnknownSessionId, "no such call");
 }
 
-void DiameterFront::answer_termination(const EndRequest& request, std::uint32_t result, const char* text) {
+void DiameterFront::answer_termination(const TerminationRequest& request, std::uint32_t result, const char* text) {
   MessageView view;
   if (decode(request.request, view)) return;
   send_if_connected(request.peer, error_answer(local_, view, result, {}, text));
@@ -333,7 +333,7 @@
   if (ends_timer_ != net::TimerId() || due > 1e15) return;
   ends_timer_ = loop_.timers().at(due, [this] {
     ends_timer_ = 0;
-    for (const EndRequest& each : pending_ends_.overdue(loop_.now())) {
+    for (const TerminationRequest& each : pending_ends_.take_expired(loop_.now())) {
       counters_.unconfirmed += 1;
       answer_termination(each, diameter::kUnableToDeliver,
                          "the core server has not confirmed it: say it again");
@@ -344,7 +344,7 @@
 
 // ---- Results of calls ----
 
-void DiameterFront::answer(CallId id, const Verdict& result) {
+void DiameterFront::answer(CallId id, const SetupResult& result) {
   const auto found = calls_.find(id);
   if (found == calls_.end() || found->second.answered) return;
   Call& call = found->second;
@@ -353,18 +353,18 @@
   answer.origin_host = local_.host;
   answer.origin_realm = local_.realm;
   switch (result.kind) {
-    case Verdict::Kind::kStands:
+    case SetupResult::Kind::kEstablished:
       call.established = true;
       answer.result = diameter::kSuccess;
       answer.origin_host = switchboard_.identity_of(result.server);
       answer.origin_realm = call.record->destination_realm;
       break;
-    case Verdict::Kind::kRefused:
+    case SetupResult::Kind::kRefused:
       answer.result = diameter::kTooBusy;
       answer.retry_after_s = result.retry_after_s;
-      answer.text = result.why;
+      answer.text = result.reason;
       break;
-    case Verdict::Kind::kRejected: {
+    case SetupResult::Kind::kRejected: {
       const CoreAnswer& rejection = switchboard_.rejection_of(id);
       answer.result = rejection.result;
       answer.origin_host = switchboard_.identity_of(result.server);
@@ -373,9 +373,9 @@
       answer.failed_avp = rejection.failed_avp;
       break;
     }
-    case Verdict::Kind::kFailed:
+    case SetupResult::Kind::kFailed:
       answer.result = diameter::kUnableToComply;
-      answer.text = result.why;
+      answer.text = result.reason;
       break;
   }
   if (config_.callers.plain && answer.retry_after_s > 0) {
--- a/src/edge/diameter_front.hpp
+++ b/src/edge/diameter_front.hpp
@@ -13,9 +13,9 @@
 
 #include "diameter/duplicates.hpp"
 #include "edge/config.hpp"
-#include "edge/endings.hpp"
 #include "edge/front.hpp"
 #include "edge/peer_link.hpp"
+#include "edge/pending_terminations.hpp"
 
 namespace mintrock::edge {
 
@@ -35,17 +35,17 @@
   // `log_connection_event` logs one event of a peer's connection: the peer, the event's name, details.
   DiameterFront(
       net::Loop& loop, const diameter::LocalNode& local, const Config& config, std::uint64_t seed,
-      Switchboard& switchboard,
+      FrontDelegate& switchboard,
       std::function<bool(const std::shared_ptr<net::Stream>&, const diameter::MessageView&, std::string_view)>
           offer_to_core_side,
       std::function<void(const std::string& peer, const char* event, const std::string& detail)>
           log_connection_event);
   ~DiameterFront() override;
 
-  void answer(CallId call, const Verdict& result) override;
+  void answer(CallId call, const SetupResult& result) override;
   void cut(CallId call) override;
   void forget(CallId call) override;
-  void released(const std::string& session, bool ended) override;
+  void on_release_confirmed(const std::string& session, bool ended) override;
 
   std::size_t pending_ends() const { return pending_ends_.size(); }
   void stop_listening() { listener_.reset(); }
@@ -88,10 +88,10 @@
   void on_message(Caller& caller, const diameter::MessageView& view, bool reopening);
   void on_setup(Caller& caller, const diameter::MessageView& view, bool reopening);
   void on_termination(Caller& caller, const diameter::MessageView& view);
-  void await_confirmation(Caller& caller, EndRequest request, const std::string& session,
+  void await_confirmation(Caller& caller, TerminationRequest request, const std::string& session,
                           std::uint32_t servers, bool known);
   void schedule_ends_timer();
-  void answer_termination(const EndRequest& request, std::uint32_t result, const char* text);
+  void answer_termination(const TerminationRequest& request, std::uint32_t result, const char* text);
   void send_if_connected(const std::string& peer, std::string bytes);
   void on_down(Caller& caller, const std::string& reason);
   void hang_up_calls(Caller& caller, bool only_unanswered);
@@ -101,7 +101,7 @@
   const diameter::LocalNode& local_;
   const Config& config_;
   std::uint64_t seed_;
-  Switchboard& switchboard_;
+  FrontDelegate& switchboard_;
   std::function<bool(const std::shared_ptr<net::Stream>&, const diameter::MessageView&, std::string_view)>
       offer_to_core_side_;
   std::function<void(const std::string&, const char*, const std::string&)> log_connection_event_;
@@ -112,7 +112,7 @@
   std::unordered_map<CallId, Call> calls_;
   std::unordered_map<std::string, CallId> call_by_session_;
   diameter::Duplicates duplicates_;
-  Endings pending_ends_;
+  PendingTerminations pending_ends_;
   net::TimerId ends_timer_ = 0;
   FrontCounters counters_;
   bool stopping_ = false;
--- a/src/edge/edge.cpp
+++ b/src/edge/edge.cpp
@@ -52,7 +52,7 @@
       front_(
           loop_, local_, config_, seed_ + 2, *this,
           [this](const std::shared_ptr<net::Stream>& stream, const diameter::MessageView& cer,
-                 std::string_view rest) { return core_.offer_connection(stream, cer, rest); },
+                 std::string_view rest) { return core_.adopt_connection(stream, cer, rest); },
           [](const std::string& peer, const char* event, const std::string& detail) {
             const bool problem = detail.size() > 0 && std::string(event) != "down";
             log_event(problem ? warn : info, event, {{"side", "caller"}, {"peer", peer}, {"detail", detail}});
@@ -64,11 +64,11 @@
                                   const std::uint64_t& value) {
     metrics_.add_counter(name, help, labels, [&value] { return static_cast<double>(value); });
   };
-  const DeskCounts& calls = call_manager_.counts();
+  const CallCounters& calls = call_manager_.counters();
   const char* const kCalls = "mintrock_calls_total";
   const char* const kCallsHelp = "Calls by what became of their set-up";
   add_counter("mintrock_calls_offered_total", "Calls that callers offered", {}, calls.offered);
-  add_counter(kCalls, kCallsHelp, {{"outcome", "stood"}}, calls.stood);
+  add_counter(kCalls, kCallsHelp, {{"outcome", "stood"}}, calls.established);
   add_counter(kCalls, kCallsHelp, {{"outcome", "refused"}}, calls.refused);
   add_counter(kCalls, kCallsHelp, {{"outcome", "failed"}}, calls.failed);
   add_counter(kCalls, kCallsHelp, {{"outcome", "abandoned"}}, calls.abandoned);
@@ -82,17 +82,17 @@
   add_counter("mintrock_attempts_total", "Set-ups sent to core servers", {}, calls.attempts);
   add_counter(kAttempts, "Attempts that ended in doubt", {{"how", "timed_out"}}, calls.timed_out);
   add_counter(kAttempts, "Attempts that ended in doubt", {{"how", "cancelled"}}, calls.cancelled);
-  const CoreCounts& core = core_.counts();
+  const CoreCounters& core = core_.counters();
   add_counter("mintrock_core_answers_unexpected_total", "Answers to no request of ours", {}, core.unexpected);
   add_counter("mintrock_core_answers_late_total", "Answers of attempts given up", {}, core.late);
   add_counter("mintrock_core_late_stood_total", "Of those, calls that stood and were released", {},
-              core.late_stood);
-  add_counter("mintrock_malformed_total", "Malformed messages", {{"side", "core"}}, core.bad);
+              core.late_established);
+  add_counter("mintrock_malformed_total", "Malformed messages", {{"side", "core"}}, core.malformed);
   metrics_.add_counter_family(
       "mintrock_core_answers_total", "Answers to set-ups, by core server and Result-Code", [this] {
         std::vector<std::pair<std::map<std::string, std::string>, double>> out;
         for (const CoreSide::View& each : core_.servers()) {
-          for (const auto& [result, n] : each.answers->counts()) {
+          for (const auto& [result, n] : each.answers->counts_by_result()) {
             out.push_back(
                 {{{"server", each.identity}, {"result", result == 0 ? "other" : std::to_string(result)}},
                  static_cast<double>(n)});
@@ -117,9 +117,9 @@
   metrics_.add_gauge("mintrock_ends_open", "Ends of calls that wait for a core server's word", {},
                      [this] { return static_cast<double>(front_.pending_ends()); });
   metrics_.add_gauge("mintrock_calls_open", "Calls without an answer yet", {},
-                     [this] { return static_cast<double>(call_manager_.open()); });
+                     [this] { return static_cast<double>(call_manager_.pending()); });
   metrics_.add_gauge("mintrock_calls_standing", "Calls that stand", {},
-                     [this] { return static_cast<double>(call_manager_.standing()); });
+                     [this] { return static_cast<double>(call_manager_.established()); });
   metrics_.add_gauge("mintrock_timers", "Timers set", {},
                      [this] { return static_cast<double>(call_manager_.timers() + loop_.timers().size()); });
   metrics_.add_gauge("mintrock_list_revision", "Revision of the pool list", {},
@@ -157,7 +157,7 @@
                                list_connected_ = false;
                                ServerList failed;
                                failed.mode = ServerList::Mode::kFailed;
-                               call_manager_.list(failed, loop_.now());
+                               call_manager_.update_servers(failed, loop_.now());
                                schedule_call_timer();
                              }});
   if (!load_stored_list()) load_cached_list();
@@ -185,12 +185,12 @@
 
 // ---- Fronts ----
 
-void Edge::offer(Front& front, CallId id, RecordPtr record, bool peer_on_trial) {
-  Offer offer;
-  offer.peer_on_trial = peer_on_trial;
-  const ClassOf classified = class_of(config_.classes, *record);
+void Edge::offer(Front& front, CallId id, RecordPtr record, bool peer_reopening) {
+  CallRequest offer;
+  offer.peer_reopening = peer_reopening;
+  const ClassMatch classified = match_class(config_.classes, *record);
   class_assumed_ += classified.assumed;
-  offer.call_class = classified.place;
+  offer.call_class = classified.index;
   const double deadline = config_.settings.classes[offer.call_class].deadline_s;
   offer.ttl_s = record->max_wait_ms ? std::min(deadline, *record->max_wait_ms / 1000.0) : deadline;
   offer.key = stable_hash(record->called);
@@ -206,15 +206,15 @@
   schedule_call_timer();
 }
 
-std::optional<diameter::Fault> Edge::refusal_of_realm(const CallRecord& record) {
+std::optional<diameter::Fault> Edge::validate_realm(const CallRecord& record) {
   auto fault = check_realm(realms_, record.destination_realm);
   realm_refused_ += fault.has_value();
   return fault;
 }
 
-std::optional<diameter::Fault> Edge::refusal_of_setup(const CallRecord& record) {
-  if (auto fault = refusal_of_realm(record)) return fault;
-  auto fault = class_of(config_.classes, record).fault;
+std::optional<diameter::Fault> Edge::validate_setup(const CallRecord& record) {
+  if (auto fault = validate_realm(record)) return fault;
+  auto fault = match_class(config_.classes, record).fault;
   class_refused_ += fault.has_value();
   return fault;
 }
@@ -226,8 +226,8 @@
   return std::exchange(release_sent_, false);
 }
 
-std::uint32_t Edge::pass_termination(const CallRecord& record) {
-  return core_.pass_termination(record.destination_host, record);
+std::uint32_t Edge::forward_termination(const CallRecord& record) {
+  return core_.forward_termination(record.destination_host, record);
 }
 
 const CoreAnswer& Edge::rejection_of(CallId call) {
@@ -244,14 +244,14 @@
 
 // ---- Requests of the call manager ----
 
-void Edge::answer(CallId call, const Verdict& result) {
+void Edge::answer(CallId call, const SetupResult& result) {
   const auto found = calls_.find(call);
   if (found == calls_.end()) return;
-  if (std::string_view(result.why) == "overdue") {
+  if (std::string_view(result.reason) == "overdue") {
     log_event(err, "overdue", {{"session", found->second.record->session_id}});
   }
-  log_event(debug, "answered", {{"session", found->second.record->session_id}, {"detail", result.why}});
-  if (result.kind == Verdict::Kind::kStands)
+  log_event(debug, "answered", {{"session", found->second.record->session_id}, {"detail", result.reason}});
+  if (result.kind == SetupResult::Kind::kEstablished)
     metrics_.observe_setup_delay(loop_.now() - found->second.offered_at);
   found->second.front->answer(call, result);
 }
@@ -268,9 +268,9 @@
   calls_.erase(found);
 }
 
-Handover Edge::send_setup(CallId call, std::uint32_t attempt, ServerId server, double give_up_after_s) {
+SendResult Edge::send_setup(CallId call, std::uint32_t attempt, ServerId server, double give_up_after_s) {
   const auto found = calls_.find(call);
-  if (found == calls_.end()) return Handover::kNotSent;
+  if (found == calls_.end()) return SendResult::kNotSent;
   return core_.send_setup(call, attempt, server, give_up_after_s, found->second.record);
 }
 
@@ -282,7 +282,7 @@
 
 void Edge::subscribe() { list_client_->open(); }
 
-void Edge::tell_peer(std::uint32_t peer, const std::vector<GossipEntry>& entries) {
+void Edge::send_gossip(std::uint32_t peer, const std::vector<GossipEntry>& entries) {
   if (!datagrams_ || peer >= config_.fleet.peers.size()) return;
   datagrams_->send(gossip_writer_.pack(entries, [this](ServerId id) { return identity_of(id); }),
                    config_.fleet.peers[peer]);
@@ -292,8 +292,8 @@
 
 // ---- Events of the core side ----
 
-void Edge::core_stood(CallId call, std::uint32_t attempt, const CoreAnswer& answer) {
-  call_manager_.stood(call, attempt, answer.report, loop_.now());
+void Edge::core_established(CallId call, std::uint32_t attempt, const CoreAnswer& answer) {
+  call_manager_.on_established(call, attempt, answer.report, loop_.now());
   schedule_call_timer();
 }
 
@@ -302,19 +302,21 @@
     const auto found = calls_.find(call);
     if (found != calls_.end()) found->second.rejection = std::make_unique<const CoreAnswer>(answer);
   }
-  call_manager_.ended(call, attempt, answer.outcome, answer.cause, answer.advised_wait_s, answer.report,
+  call_manager_.on_ended(call, attempt, answer.outcome, answer.cause, answer.advised_wait_s, answer.report,
                       loop_.now());
   schedule_call_timer();
 }
 
 void Edge::core_load(ServerId server, const CoreAnswer& answer) {
-  call_manager_.load(server, answer.report, loop_.now());
+  call_manager_.update_load(server, answer.report, loop_.now());
   schedule_call_timer();
 }
 
-void Edge::core_released(const std::string& session, bool ended) { front_.released(session, ended); }
+void Edge::core_release_confirmed(const std::string& session, bool ended) {
+  front_.on_release_confirmed(session, ended);
+}
 
-void Edge::core_errors(const std::string& server, const AnswerWatch::Warning& warning) {
+void Edge::core_errors(const std::string& server, const AnswerMonitor::Warning& warning) {
   log_event(warn, "core_errors",
             {{"peer", server},
              {"result", std::to_string(warning.result)},
@@ -346,11 +348,11 @@
   log_event(info, "list", {{"revision", std::to_string(update.revision)}});
   // Update the Controller first: it must know which servers drain before the core side looks again at the
   // set-ups that wait for a connection.
-  call_manager_.list(
+  call_manager_.update_servers(
       server_list_.event(update, update.full ? ServerList::Mode::kFull : ServerList::Mode::kDelta, now,
                          net::wall_now()),
       now);
-  for (const auto& [id, entry] : server_list_.entries()) core_.update(id, entry);
+  for (const auto& [id, entry] : server_list_.entries()) core_.update_server(id, entry);
   schedule_call_timer();
   store_list(update);
   save_cached_list();
@@ -434,8 +436,8 @@
                {"detail", kept.back().trust.why}});
   }
   cached.entries = membership::tell(kept, now);
-  call_manager_.list(cached, now);
-  for (const ServerEntry& each : cached.entries) core_.update(each.id, *server_list_.find(each.id));
+  call_manager_.update_servers(cached, now);
+  for (const ServerEntry& each : cached.entries) core_.update_server(each.id, *server_list_.find(each.id));
   return true;
 }
 
@@ -495,8 +497,8 @@
     update.revision = 0;
     server_list_.take(update);
     const double now = loop_.now();
-    call_manager_.list(server_list_.event(update, ServerList::Mode::kCached, now, net::wall_now()), now);
-    for (const auto& [id, entry] : server_list_.entries()) core_.update(id, entry);
+    call_manager_.update_servers(server_list_.event(update, ServerList::Mode::kCached, now, net::wall_now()), now);
+    for (const auto& [id, entry] : server_list_.entries()) core_.update_server(id, entry);
     log_event(info, "list_cached", {{"detail", std::to_string(update.entries.size()) + " servers"}});
   } catch (const std::exception& error) {
     log_event(warn, "list_cache_malformed", {{"detail", config_.list.cache_file + ": " + error.what()}});
@@ -535,7 +537,7 @@
     log_event(debug, "hearsay_dropped", {{"peer", from.str()}, {"detail", reason}});
     return;
   }
-  call_manager_.peer_news(*news, loop_.now());
+  call_manager_.on_peer_news(*news, loop_.now());
   schedule_call_timer();
 }
 
@@ -563,7 +565,7 @@
 void Edge::drain() {
   if (draining_) return;
   draining_ = true;
-  log_event(info, "draining", {{"open", std::to_string(call_manager_.open())}});
+  log_event(info, "draining", {{"open", std::to_string(call_manager_.pending())}});
   call_manager_.drain();
   front_.stop_listening();
   double max_deadline_s = 0;
@@ -578,7 +580,7 @@
   constexpr double kCheckInterval = 0.05;  // s
   constexpr double kDpaTimeout = 11;  // s; longer than the 10 s that a peer state machine waits for its DPA
   const bool timed_out = loop_.now() >= drain_deadline_;
-  if (!stopping_ && (call_manager_.open() == 0 || timed_out)) {
+  if (!stopping_ && (call_manager_.pending() == 0 || timed_out)) {
     stopping_ = true;
     drain_deadline_ = loop_.now() + kDpaTimeout;
     front_.stop();
@@ -606,8 +608,8 @@
     servers.push_back({{"server", each.identity},
                        {"peer", each.state},
                        {"watchdog", each.watchdog},
-                       {"out", each.out},
-                       {"standing", each.standing}});
+                       {"out", each.in_flight},
+                       {"standing", each.established}});
     if (each.load >= 0) servers.back()["load"] = each.load;
     if (each.answers->last_error() != 0) {
       servers.back()["answers"] = {{"only_errors", each.answers->errors_only()},
@@ -630,7 +632,7 @@
   static const char* const kStates[] = {"deciding", "out", "stands"};
   const double now = loop_.now();
   nlohmann::ordered_json all = nlohmann::ordered_json::array();
-  for (const CallDesk::View& each : call_manager_.calls()) {
+  for (const CallManager::View& each : call_manager_.calls()) {
     const auto entry = calls_.find(each.call);
     nlohmann::ordered_json json{{"call", each.call}, {"state", kStates[static_cast<int>(each.state)]}};
     if (entry != calls_.end()) {
@@ -641,7 +643,7 @@
     const list::Entry* server = server_list_.find(each.server);
     if (server != nullptr) json["server"] = server->identity;
     json["attempts"] = each.attempts;
-    json["age_s"] = now - each.since;
+    json["age_s"] = now - each.offered_at;
     all.push_back(std::move(json));
   }
   return {200, "application/json", all.dump(2, ' ', false, nlohmann::json::error_handler_t::replace) + "\n"};
--- a/src/edge/edge.hpp
+++ b/src/edge/edge.hpp
@@ -12,7 +12,7 @@
 #include <unordered_map>
 
 #include "edge/admin.hpp"
-#include "edge/call_desk.hpp"
+#include "edge/call_manager.hpp"
 #include "edge/config.hpp"
 #include "edge/core_side.hpp"
 #include "edge/diameter_front.hpp"
@@ -26,7 +26,7 @@
 
 namespace mintrock::edge {
 
-class Edge : private DeskPorts, private CorePorts, private Switchboard {
+class Edge : private CallManagerDelegate, private CoreSideDelegate, private FrontDelegate {
  public:
   Edge(net::Loop& loop, Config config, std::string config_file);
   ~Edge() override;
@@ -35,15 +35,15 @@
   void reload();  // SIGHUP: applies the settings that can change at run time
   net::Address callers_address() const { return front_.listening(); }
   net::Address admin_address() const { return admin_server_->listening(); }
-  const DeskCounts& call_counters() const { return call_manager_.counts(); }
-  const CoreCounts& core_counters() const { return core_.counts(); }
+  const CallCounters& call_counters() const { return call_manager_.counters(); }
+  const CoreCounters& core_counters() const { return core_.counters(); }
   // The state of the Diameter peer state machine of the core server with this identity; empty: unknown
   // server.
   std::string core_state(const std::string& identity) const;
   std::uint64_t list_revision() const { return server_list_.revision(); }
   std::size_t connected_callers() const { return front_.open_peers(); }
-  std::size_t open_calls() const { return call_manager_.open(); }
-  std::size_t established_calls() const { return call_manager_.standing(); }
+  std::size_t open_calls() const { return call_manager_.pending(); }
+  std::size_t established_calls() const { return call_manager_.established(); }
   // SIGTERM: refuses new calls, waits for pending answers, sends DPRs, then stops the loop.
   void drain();
 
@@ -55,30 +55,30 @@
     std::unique_ptr<const CoreAnswer> rejection;  // the last answer with kUnfit or kRejected
   };
 
-  // DeskPorts
-  void answer(CallId call, const Verdict& result) override;
+  // CallManagerDelegate
+  void answer(CallId call, const SetupResult& result) override;
   void cut(CallId call) override;
-  Handover send_setup(CallId call, std::uint32_t attempt, ServerId server, double give_up_after_s) override;
+  SendResult send_setup(CallId call, std::uint32_t attempt, ServerId server, double give_up_after_s) override;
   void release(CallId call, std::uint32_t attempt, ServerId server) override;
   void forget(CallId call) override;
   void subscribe() override;
-  void tell_peer(std::uint32_t peer, const std::vector<GossipEntry>& entries) override;
+  void send_gossip(std::uint32_t peer, const std::vector<GossipEntry>& entries) override;
   void log(const std::string& text) override;
-  // CorePorts
-  void core_stood(CallId call, std::uint32_t attempt, const CoreAnswer& answer) override;
+  // CoreSideDelegate
+  void core_established(CallId call, std::uint32_t attempt, const CoreAnswer& answer) override;
   void core_ended(CallId call, std::uint32_t attempt, const CoreAnswer& answer) override;
   void core_load(ServerId server, const CoreAnswer& answer) override;
-  void core_released(const std::string& session, bool ended) override;
-  void core_errors(const std::string& server, const AnswerWatch::Warning& warning) override;
+  void core_release_confirmed(const std::string& session, bool ended) override;
+  void core_errors(const std::string& server, const AnswerMonitor::Warning& warning) override;
   void core_event(const std::string& server, const char* event, const std::string& detail) override;
-  // Switchboard
-  CallId next_call() override { return call_manager_.next_call(); }
-  void offer(Front& front, CallId call, RecordPtr record, bool peer_on_trial) override;
-  std::optional<diameter::Fault> refusal_of_realm(const CallRecord& record) override;
-  std::optional<diameter::Fault> refusal_of_setup(const CallRecord& record) override;
+  // FrontDelegate
+  CallId next_call_id() override { return call_manager_.next_call_id(); }
+  void offer(Front& front, CallId call, RecordPtr record, bool peer_reopening) override;
+  std::optional<diameter::Fault> validate_realm(const CallRecord& record) override;
+  std::optional<diameter::Fault> validate_setup(const CallRecord& record) override;
   const CoreAnswer& rejection_of(CallId call) override;
   bool hang_up(CallId call) override;
-  std::uint32_t pass_termination(const CallRecord& record) override;
+  std::uint32_t forward_termination(const CallRecord& record) override;
   const std::string& identity_of(ServerId server) override;
 
   void on_list_event(const list::SseEvent& event);
@@ -101,8 +101,8 @@
   diameter::LocalNode local_;
   Metrics metrics_;
   list::Book server_list_;
-  Realms realms_;
-  CallDesk call_manager_;
+  RealmTable realms_;
+  CallManager call_manager_;
   CoreSide core_;
   DiameterFront front_;
   std::unordered_map<CallId, CallEntry> calls_;
--- a/src/platform/platform_edge.cpp
+++ b/src/platform/platform_edge.cpp
@@ -128,13 +128,13 @@
 
 // ---- CallManagerDelegate ----
 
-void PlatformEdge::answer(CallId id, const edge::Verdict& result) {
+void PlatformEdge::answer(CallId id, const edge::SetupResult& result) {
   const auto found = calls_.find(id);
   if (found == calls_.end()) return;
   Call& call = found->second;
   const double now = loop_.now();
   switch (result.kind) {
-    case edge::Verdict::Kind::kStands:
+    case edge::SetupResult::Kind::kEstablished:
       call.server = result.server;
       log_event(info, "stands", {{"call", hex_id(call.id)}, {"peer", identity(result.server)}});
       callers_.answer(call.id, call.answer, now);
@@ -142,8 +142,8 @@
       call.description.clear();
       call.description.shrink_to_fit();
       return;
-    case edge::Verdict::Kind::kRefused: {
-      log_event(info, "refused", {{"call", hex_id(call.id)}, {"detail", result.why}});
+    case edge::SetupResult::Kind::kRefused: {
+      log_event(info, "refused", {{"call", hex_id(call.id)}, {"detail", result.reason}});
       std::optional<std::uint32_t> retry_after_ms;
       if (result.retry_after_s > 0) {
         retry_after_ms = static_cast<std::uint32_t>(std::ceil(result.retry_after_s * 1000));
@@ -151,7 +151,7 @@
       return callers_.refuse(call.id, kCauseCongestion, retry_after_ms, now);
     }
     default:
-      log_event(info, "failed", {{"call", hex_id(call.id)}, {"detail", result.why}});
+      log_event(info, "failed", {{"call", hex_id(call.id)}, {"detail", result.reason}});
       return callers_.refuse(call.id, kCauseTemporaryFailure, {}, now);
   }
 }
@@ -161,12 +161,12 @@
   if (found != calls_.end()) callers_.end(found->second.id, found->second.end_cause, loop_.now());
 }
 
-edge::Handover PlatformEdge::send_setup(CallId id, std::uint32_t attempt, ServerId server,
-                                        double give_up_after_s) {
+edge::SendResult PlatformEdge::send_setup(CallId id, std::uint32_t attempt, ServerId server,
+                                          double give_up_after_s) {
   const auto found = calls_.find(id);
   const auto core = cores_.find(server);
   if (found == calls_.end() || core == cores_.end() || core->second.state != ServerEntry::State::kReady) {
-    return edge::Handover::kNotSent;
+    return edge::SendResult::kNotSent;
   }
   const Call& call = found->second;
   log_event(info, "attempt",
@@ -175,7 +175,7 @@
   core->second.connections->set_up(
       {id, attempt}, call.id,
       write_core_setup(call.id, call.service_class, call.number, left_ms, call.description), loop_.now());
-  return edge::Handover::kTaken;
+  return edge::SendResult::kAccepted;
 }
 
 void PlatformEdge::release(CallId id, std::uint32_t, ServerId server) {
@@ -194,7 +194,7 @@
   calls_.erase(found);
 }
 
-void PlatformEdge::tell_peer(std::uint32_t peer, const std::vector<GossipEntry>& hearsay) {
+void PlatformEdge::send_gossip(std::uint32_t peer, const std::vector<GossipEntry>& hearsay) {
   if (!datagrams_ || peer >= config_.peers.size()) return;
   std::vector<GossipEntry> common;
   for (const GossipEntry& each : hearsay) {
@@ -270,14 +270,14 @@
           kMostMessage) {
     return "set-up too large to forward";
   }
-  const CallId id = call_manager_.next_call();
+  const CallId id = call_manager_.next_call_id();
   call_ids_[setup.id] = id;
   Call& call = calls_[id];
   call.id = setup.id;
   call.service_class = std::move(setup.service_class);
   call.number = std::move(setup.number);
   call.description = std::move(setup.description);
-  edge::Offer out;
+  edge::CallRequest out;
   out.call_class = static_cast<std::uint32_t>(found_class - config_.classes.begin());
   out.key = setup.key;
   out.ttl_s = setup.left_s;
@@ -439,7 +439,7 @@
                                          const Report& report) {
   const auto found = calls_.find(attempt.call);
   if (found != calls_.end()) found->second.answer = std::move(description);
-  call_manager_.stood(attempt.call, attempt.number, report, loop_.now());
+  call_manager_.on_established(attempt.call, attempt.number, report, loop_.now());
 }
 
 void PlatformEdge::core_attempt_ended(const AttemptId& attempt, Outcome outcome, Cause cause, double waited_s,
@@ -451,24 +451,24 @@
                {"attempt", std::to_string(attempt.number)},
                {"detail", name(outcome)}});
   }
-  call_manager_.ended(attempt.call, attempt.number, outcome, cause, waited_s, report, loop_.now());
+  call_manager_.on_ended(attempt.call, attempt.number, outcome, cause, waited_s, report, loop_.now());
 }
 
 void PlatformEdge::core_call_ended(ServerId server, std::uint64_t id, bool cut, const Report& report) {
   const double now = loop_.now();
-  call_manager_.load(server, report, now);
+  call_manager_.update_load(server, report, now);
   log_event(info, "core_over",
             {{"call", hex_id(id)}, {"peer", identity(server)}, {"detail", cut ? "cut" : "ended"}});
   const int cause = cut ? kCauseTemporaryFailure : kCauseNormal;
   const auto found = call_ids_.find(id);
   if (found != call_ids_.end()) {
     Call& call = calls_.at(found->second);
-    if (call.server == 0 && !cut) return call_manager_.ran_elsewhere(found->second, now);
+    if (call.server == 0 && !cut) return call_manager_.on_earlier_attempt_ended(found->second, now);
     // The end of a duplicate that an earlier attempt left at another server is ignored.
     if (call.server != server) return;
     call.end_cause = cause;
     // The attempt's number is not needed: only one attempt can be established.
-    call_manager_.ended_standing(found->second, cut ? Outcome::kReset : Outcome::kEnded, report, now);
+    call_manager_.on_established_call_ended(found->second, cut ? Outcome::kReset : Outcome::kEnded, report, now);
     return;
   }
   const auto taken = taken_over_.find(id);
@@ -484,7 +484,7 @@
 }
 
 void PlatformEdge::core_load_reported(ServerId server, const Report& report) {
-  call_manager_.load(server, report, loop_.now());
+  call_manager_.update_load(server, report, loop_.now());
 }
 
 void PlatformEdge::core_fault(ServerId server, const char* error) {
@@ -492,7 +492,7 @@
 }
 
 void PlatformEdge::core_unconfirmed_attempt_ended(const AttemptId& attempt) {
-  call_manager_.ran_elsewhere(attempt.call, loop_.now());
+  call_manager_.on_earlier_attempt_ended(attempt.call, loop_.now());
 }
 
 void PlatformEdge::core_gone(ServerId server, const char* reason, std::size_t established) {
@@ -572,10 +572,10 @@
   const double wall = net::wall_now();
   const ServerList moved = book_.retire_moved(event.update);
   if (!book_.take(event.update)) return;
-  if (!moved.entries.empty()) call_manager_.list(moved, now);
+  if (!moved.entries.empty()) call_manager_.update_servers(moved, now);
   // The Controller is updated first: it must know which servers drain before queued set-ups are decided
   // again.
-  call_manager_.list(
+  call_manager_.update_servers(
       book_.event(event.update, event.update.full ? ServerList::Mode::kFull : ServerList::Mode::kDelta, now,
                   wall),
       now);
@@ -632,12 +632,12 @@
 // Logs the proxy's own counts, for comparison with what its core servers and callers saw.
 void PlatformEdge::log_state() {
   constexpr double kInterval = 10.0;  // s
-  const edge::DeskCounts& d = call_manager_.counts();
+  const edge::CallCounters& d = call_manager_.counters();
   const CallerCounts& c = callers_.counts();
   const auto text = [](std::uint64_t value) { return std::to_string(value); };
   log_event(info, "state",
             {{"offered", text(d.offered)},
-             {"stood", text(d.stood)},
+             {"stood", text(d.established)},
              {"refused", text(d.refused)},
              {"failed", text(d.failed)},
              {"abandoned", text(d.abandoned)},
@@ -646,8 +646,8 @@
              {"timed_out", text(d.timed_out)},
              {"cancelled", text(d.cancelled)},
              {"ended", text(d.ended + d.cut)},
-             {"open", text(call_manager_.open())},
-             {"standing", text(call_manager_.standing())},
+             {"open", text(call_manager_.pending())},
+             {"standing", text(call_manager_.established())},
              {"taken_over", text(taken_over_.size())},
              {"callers", text(callers_.connections())},
              {"caller_faults", text(c.faults)},
@@ -685,7 +685,7 @@
     }
   }
   if (update.entries.empty()) return;
-  call_manager_.peer_news(update, loop_.now());
+  call_manager_.on_peer_news(update, loop_.now());
   schedule_timer();
 }
 
@@ -721,7 +721,7 @@
   for (const auto& each : config_.instance.settings.classes) longest = std::max(longest, each.deadline_s);
   accept_until_ = loop_.now() + kAcceptAfterDrain;
   drain_until_ = std::max(accept_until_, loop_.now() + std::min(kMaxDrain, longest) + kDrainMargin);
-  log_event(info, "draining", {{"open", std::to_string(call_manager_.open())}});
+  log_event(info, "draining", {{"open", std::to_string(call_manager_.pending())}});
   continue_drain();
 }
 
@@ -739,7 +739,7 @@
     callers_.tick(now);
   }
   if (now >= drain_until_) {
-    call_manager_.answer_all(now);
+    call_manager_.answer_pending_calls(now);
     callers_.close_all();
   }
   std::size_t releases = 0;
@@ -753,7 +753,7 @@
   if (done || now >= drain_until_ + kFlushTime) {
     loop_.timers().cancel(state_timer_);
     log_state();
-    log_event(info, "stopped", {{"standing", std::to_string(call_manager_.standing())}});
+    log_event(info, "stopped", {{"standing", std::to_string(call_manager_.established())}});
     return loop_.stop();
   }
   schedule_timer();
--- a/src/platform/platform_edge.hpp
+++ b/src/platform/platform_edge.hpp
@@ -10,7 +10,7 @@
 #include <unordered_map>
 #include <vector>
 
-#include "edge/call_desk.hpp"
+#include "edge/call_manager.hpp"
 #include "list/client.hpp"
 #include "list/event_order.hpp"
 #include "list/pool_list.hpp"
@@ -29,7 +29,7 @@
   std::size_t per_server(std::size_t servers) const;
 };
 
-class PlatformEdge : public edge::DeskPorts, public CallerPorts, public CoreConnectionsDelegate {
+class PlatformEdge : public edge::CallManagerDelegate, public CallerPorts, public CoreConnectionsDelegate {
  public:
   PlatformEdge(net::Loop& loop, Config config, std::string config_file);
   ~PlatformEdge() override;
@@ -40,7 +40,7 @@
 
   net::Address listening() const { return listener_->local(); }
   const CallerSide& callers() const { return callers_; }
-  const edge::CallDesk& call_manager() const { return call_manager_; }
+  const edge::CallManager& call_manager() const { return call_manager_; }
   const CoreCounters& core_counters() const { return core_counters_; }
   std::size_t servers() const { return cores_.size(); }
   std::size_t calls() const { return calls_.size(); }
@@ -67,14 +67,14 @@
   };
 
   // ---- CallManagerDelegate ----
-  void answer(CallId call, const edge::Verdict& result) override;
+  void answer(CallId call, const edge::SetupResult& result) override;
   void cut(CallId call) override;
-  edge::Handover send_setup(CallId call, std::uint32_t attempt, ServerId server,
-                            double give_up_after_s) override;
+  edge::SendResult send_setup(CallId call, std::uint32_t attempt, ServerId server,
+                              double give_up_after_s) override;
   void release(CallId call, std::uint32_t attempt, ServerId server) override;
   void forget(CallId call) override;
   void subscribe() override {}  // the event bus is read from the start
-  void tell_peer(std::uint32_t peer, const std::vector<GossipEntry>& hearsay) override;
+  void send_gossip(std::uint32_t peer, const std::vector<GossipEntry>& hearsay) override;
   void log(const std::string& text) override;
 
   // ---- CallerSideDelegate ----
@@ -126,7 +126,7 @@
   Config config_;
   std::string config_file_;
   DescriptorBudget budget_;
-  edge::CallDesk call_manager_;
+  edge::CallManager call_manager_;
   CallerSide callers_;
   list::Book book_;
   list::EventOrder order_;
--- a/tests/edge/edge_test.cpp
+++ b/tests/edge/edge_test.cpp
@@ -318,7 +318,7 @@
   core.send_success(*core.connections.back(), kept.view);
   wait_until([&] { return core.ends == 2; }, "released again after the late success");
   EXPECT_EQ(caller.results["late"].size(), 1u);
-  EXPECT_EQ(edge->core_counters().late_stood, 1u);
+  EXPECT_EQ(edge->core_counters().late_established, 1u);
 }
 
 TEST_F(EdgeTest, DuplicateCoreAnswerIsForwardedOnce) {
@@ -666,7 +666,7 @@
 }
 
 TEST_F(EdgeTest, RequestForAnotherRealmIsRejectedWith3003) {
-  start([](Config& c) { c.realms["guest.test"] = Realms::Action::kLocal; });
+  start([](Config& c) { c.realms["guest.test"] = RealmTable::Action::kLocal; });
   connect();
   caller.send_ccr("other", 1, 1, "", 5000, 0, "elsewhere.example");
   caller.send_ccr("guest", 1, 2, "", 5000, 0, "Guest.Test");
--- a/tests/platform/platform_edge_test.cpp
+++ b/tests/platform/platform_edge_test.cpp
@@ -219,7 +219,7 @@
   ASSERT_TRUE(fixture.until([&] { return caller.count(12) == 1; }));
   EXPECT_EQ(caller.received[1].cause, 16);
   EXPECT_EQ(fixture.edge->calls(), 0u);
-  EXPECT_EQ(fixture.edge->call_manager().standing(), 0u);
+  EXPECT_EQ(fixture.edge->call_manager().established(), 0u);
 }
 
 TEST(PlatformEdge, CallersReleaseReachesCoreServer) {
@@ -518,7 +518,7 @@
     ASSERT_LT(id, 20000u);
     caller.setup(id);
     ASSERT_TRUE(fixture.until([&] {
-      return fixture.edge->callers().open() == 0 && fixture.edge->call_manager().counts().offered == id;
+      return fixture.edge->callers().open() == 0 && fixture.edge->call_manager().counters().offered == id;
     }));
     if (id % 10 != 0 || established.empty()) continue;
     const std::string ended = *established.begin();
@@ -529,14 +529,14 @@
       break;
     }
     ends += 1;
-    ASSERT_TRUE(fixture.until([&] { return fixture.edge->call_manager().counts().cut == ends; }));
+    ASSERT_TRUE(fixture.until([&] { return fixture.edge->call_manager().counters().cut == ends; }));
   }
-  const edge::DeskCounts& counts = fixture.edge->call_manager().counts();
+  const edge::CallCounters& counts = fixture.edge->call_manager().counters();
   ASSERT_TRUE(fixture.until([&] { return caller.received.size() == calls + ends; }));
   EXPECT_EQ(counts.attempts, fixture.core.count("setup"));
-  EXPECT_EQ(counts.stood, caller.count(9));
+  EXPECT_EQ(counts.established, caller.count(9));
   EXPECT_EQ(counts.refused + counts.failed + ends, caller.count(12));
-  EXPECT_EQ(fixture.edge->call_manager().standing(), established.size());
+  EXPECT_EQ(fixture.edge->call_manager().established(), established.size());
   EXPECT_GT(counts.refused, 0u);
   EXPECT_GT(fixture.edge->core_counters().unreadable, 0u);
   EXPECT_GT(fixture.edge->core_counters().duplicate_answers, 0u);
@@ -557,7 +557,7 @@
     ASSERT_TRUE(fixture.until([&] { return fixture.edge->calls() == 0; }));
   }
   EXPECT_TRUE(fixture.until([&] { return fixture.edge->callers().connections() == 0; }));
-  EXPECT_EQ(fixture.edge->call_manager().open(), 0u);
+  EXPECT_EQ(fixture.edge->call_manager().pending(), 0u);
 }
 
 // ---- The server list: missing events are requested again, and later ones ignored until then ----
@@ -826,7 +826,7 @@
     if (way == 2) {
       for (std::uint64_t id = 1; id <= 4; ++id) caller.stream->write(write_release(id, 16));
     }
-    ASSERT_TRUE(fixture.until([&] { return fixture.edge->call_manager().open() == 0; })) << way;
+    ASSERT_TRUE(fixture.until([&] { return fixture.edge->call_manager().pending() == 0; })) << way;
     EXPECT_LE(fixture.core.count("setup"), sent) << way;
     EXPECT_TRUE(fixture.until([&] { return fixture.core.count("release") == sent; })) << "released " << way;
     EXPECT_EQ(fixture.edge->calls(), 0u);
