--- a/src/bench/drill.cpp
+++ b/src/bench/drill.cpp
@@ -11,8 +11,8 @@
 #include <variant>
 #include <vector>
 
-#include "mintrock/controller.hpp"
 #include "bench/wire.hpp"
+#include "mintrock/controller.hpp"
 
 namespace {
 
@@ -56,7 +56,8 @@
   void take(const wire::ForInstance& r) { current_ = r.instance; }
   void take(const wire::PowerOn& r) {
     wire::InstanceSettings parsed = wire::parse_settings(r.settings);
-    instances_[number()] = {std::make_unique<Controller>(parsed.settings, r.seed), std::move(parsed.fields)};
+    instances_[number()] = {std::make_unique<Controller>(parsed.settings, r.seed),
+                            std::move(parsed.report_fields)};
     pass(mintrock::Started{});
   }
   // What the life that ends here wanted in this batch goes with it.
--- a/src/bench/wire.cpp
+++ b/src/bench/wire.cpp
@@ -137,7 +137,7 @@
   rows.buffer = in.u8();
   if (rows.buffer > 15) throw WireError("list buffer out of range");
   const std::uint32_t count = in.u32();
-  if (count > in.left() / kEntrySize) throw WireError("list count past the end of the frame");
+  if (count > in.remaining() / kEntrySize) throw WireError("list count past the end of the frame");
   for (std::uint32_t i = 0; i < count; ++i) rows.entries.push_back(read_entry(in));
   return rows;
 }
@@ -203,7 +203,7 @@
     }
     case 9:
       in.u16();  // the sender's number: who tells it is of no matter
-      return Mail{{unpack_hearsay(in.bytes(in.u16()))}};
+      return Mail{{unpack_gossip(in.bytes(in.u16()))}};
     case 10:
       return Halt{};
     case 11:
@@ -273,7 +273,7 @@
                           body_.u8(1);
                         },
                         [&](const TellPeer& a) {
-                          const std::string bytes = pack_hearsay(a.hearsay);
+                          const std::string bytes = pack_gossip(a.hearsay);
                           body_.u8(8);
                           body_.u32(a.peer);
                           body_.u16(static_cast<std::uint16_t>(bytes.size()));
--- a/src/bench/wire.hpp
+++ b/src/bench/wire.hpp
@@ -11,7 +11,7 @@
 #include <vector>
 
 #include "instance/bytes.hpp"
-#include "instance/hearsay.hpp"
+#include "instance/gossip.hpp"
 #include "instance/settings.hpp"
 #include "mintrock/controller.hpp"
 
@@ -19,10 +19,10 @@
 
 using WireError = instance::FormatError;
 using instance::make_report;
-using instance::pack_hearsay;
+using instance::pack_gossip;
 using instance::parse_settings;
 using instance::Reader;
-using instance::unpack_hearsay;
+using instance::unpack_gossip;
 using instance::Writer;
 using Field = instance::Field;
 using InstanceSettings = instance::InstanceSettings;
--- a/src/edge/core_side.hpp
+++ b/src/edge/core_side.hpp
@@ -17,7 +17,7 @@
 #include "edge/core_sessions.hpp"
 #include "edge/credit_control.hpp"
 #include "edge/peer_link.hpp"
-#include "list/pool_list.hpp"
+#include "list/server_list.hpp"
 
 namespace mintrock::edge {
 
--- a/src/edge/edge.cpp
+++ b/src/edge/edge.cpp
@@ -190,7 +190,7 @@
   offer.ttl_s = record->max_wait_ms ? std::min(deadline, *record->max_wait_ms / 1000.0) : deadline;
   offer.key = key_of(record->called);
   offer.lines = record->lines;
-  if (const list::Entry* entry = book_.find(book_.number(record->destination_host)))
+  if (const list::Entry* entry = book_.find(book_.id_of(record->destination_host)))
     offer.first_choice = entry->node;
   else if (!record->destination_host.empty())
     unknown_host_ += 1;  // a first choice is a wish: the call goes wherever there is room
@@ -325,23 +325,23 @@
 // ---- The pool list ----
 
 void Edge::on_list(const list::SseEvent& event) {
-  list::News news;
+  list::Update news;
   try {
-    news = list::parse_news(event.data);
+    news = list::parse_update(event.data);
   } catch (const std::exception& error) {
     log_event(warn, "list_malformed", {{"detail", error.what()}});
     return;
   }
-  for (const std::string& fault : news.faults) log_event(warn, "list_entry_malformed", {{"detail", fault}});
-  if (!book_.take(news)) return;
+  for (const std::string& fault : news.errors) log_event(warn, "list_entry_malformed", {{"detail", fault}});
+  if (!book_.apply(news)) return;
   list_fresh_ = true;
   const double now = loop_.now();
   log_event(info, "list", {{"revision", std::to_string(news.revision)}});
   // Told to the Controller first: what is drained must be known before anything that waits is looked at
   // again.
-  desk_.list(
-      book_.event(news, news.full ? ServerList::Mode::kFull : ServerList::Mode::kDelta, now, net::wall_now()),
-      now);
+  desk_.list(book_.to_server_list(news, news.full ? ServerList::Mode::kFull : ServerList::Mode::kDelta, now,
+                                  net::wall_now()),
+             now);
   for (const auto& [id, entry] : book_.entries()) core_.update(id, entry);
   watch_desk();
   keep_list(news);
@@ -400,13 +400,13 @@
   const double now = loop_.now();
   const membership::Moment here = moment(now);
   const membership::Moment then{loaded.wall, loaded.monotonic, loaded.boot};
-  list::News news;  // revision 0: whatever comes next is news, the list may have begun anew
+  list::Update news;  // revision 0: whatever comes next is news, the list may have begun anew
   for (const membership::KeptEntry& each : loaded.entries) {
     news.entries.push_back(
         {each.identity, each.address, each.node, each.kind, each.weight, each.state, each.started_at});
   }
-  book_.take(news);
-  ServerList told = book_.event(news, ServerList::Mode::kCached, now, here.wall);
+  book_.apply(news);
+  ServerList told = book_.to_server_list(news, ServerList::Mode::kCached, now, here.wall);
   std::vector<membership::Kept> kept;
   for (std::size_t i = 0; i < loaded.entries.size(); ++i) {
     const membership::Age age = membership::age_of(loaded.entries[i].last_confirmed, then, here);
@@ -415,7 +415,7 @@
     evidence.clock_doubtful = age.doubtful || !loaded.whole;  // what was damaged may have been the age
     evidence.source = loaded.entries[i].source;
     const auto entry = std::find_if(told.entries.begin(), told.entries.end(), [&](const ServerEntry& each) {
-      return each.id == book_.number(loaded.entries[i].identity);
+      return each.id == book_.id_of(loaded.entries[i].identity);
     });
     if (entry == told.entries.end()) continue;
     kept.push_back({*entry, membership::judge(config_.list.trust, evidence)});
@@ -430,7 +430,7 @@
   return true;
 }
 
-void Edge::keep_list(const list::News& news) {
+void Edge::keep_list(const list::Update& news) {
   if (!keeper_) return;
   const membership::Moment here = moment(loop_.now());
   membership::Change change;
@@ -455,7 +455,7 @@
   confirm_timer_ = loop_.after(kConfirmEvery, [this] {
     tell_store_faults();
     if (list_fresh_) {
-      list::News all = book_.snapshot();
+      list::Update all = book_.snapshot();
       all.full = true;
       keep_list(all);
     }
@@ -479,12 +479,12 @@
   std::ostringstream text;
   text << in.rdbuf();
   try {
-    list::News news = list::parse_news(text.str());
+    list::Update news = list::parse_update(text.str());
     // Whatever comes next is news, be its revision lower or not: the list may have begun anew.
     news.revision = 0;
-    book_.take(news);
+    book_.apply(news);
     const double now = loop_.now();
-    desk_.list(book_.event(news, ServerList::Mode::kCached, now, net::wall_now()), now);
+    desk_.list(book_.to_server_list(news, ServerList::Mode::kCached, now, net::wall_now()), now);
     for (const auto& [id, entry] : book_.entries()) core_.update(id, entry);
     log_event(info, "list_cached", {{"detail", std::to_string(news.entries.size()) + " servers"}});
   } catch (const std::exception& error) {
@@ -500,7 +500,7 @@
     save_pending_ = false;
     const std::string fresh = config_.list.cache_file + ".new";
     std::ofstream out(fresh, std::ios::trunc);
-    out << list::print_news(book_.snapshot());
+    out << list::print_update(book_.snapshot());
     out.close();
     if (!out || std::rename(fresh.c_str(), config_.list.cache_file.c_str()) != 0) {
       log_event(warn, "list_cache_not_written", {{"detail", config_.list.cache_file}});
@@ -518,7 +518,7 @@
   if (found != peers.end()) {
     news = hearsay_in_.read(
         bytes, static_cast<std::uint32_t>(found - peers.begin()),
-        [this](const std::string& identity) { return book_.number(identity); }, why);
+        [this](const std::string& identity) { return book_.id_of(identity); }, why);
   }
   if (!news) {
     log_event(debug, "hearsay_dropped", {{"peer", from.str()}, {"detail", why}});
--- a/src/edge/edge.hpp
+++ b/src/edge/edge.hpp
@@ -17,9 +17,9 @@
 #include "edge/diameter_front.hpp"
 #include "edge/front.hpp"
 #include "edge/metrics.hpp"
-#include "fleet/hearsay.hpp"
+#include "fleet/gossip.hpp"
 #include "list/client.hpp"
-#include "list/pool_list.hpp"
+#include "list/server_list.hpp"
 #include "membership/keeper.hpp"
 #include "net/loop.hpp"
 
@@ -80,7 +80,7 @@
 
   void on_list(const list::SseEvent& event);
   bool load_kept_list();  // true: there is one
-  void keep_list(const list::News& news);
+  void keep_list(const list::Update& news);
   void confirm_list();
   void tell_store_faults();
   void load_cached_list();
@@ -97,7 +97,7 @@
   std::uint64_t seed_;
   diameter::LocalNode local_;
   Metrics metrics_;
-  list::Book book_;
+  list::ServerTable book_;
   Realms realms_;
   CallDesk desk_;
   CoreSide core_;
--- a/src/fleet/hearsay.cpp
+++ b/src/fleet/gossip.cpp
@@ -1,4 +1,4 @@
-#include "fleet/hearsay.hpp"
+#include "fleet/gossip.hpp"
 
 #include <algorithm>
 #include <cmath>
@@ -26,12 +26,12 @@
   news.set_sequence(++sequence_);
   for (const Hearsay& each : hearsay) {
     const std::string name = identity(each.server);
-    if (name.empty() || static_cast<std::size_t>(news.hearsay_size()) == kMostHearsay) continue;
+    if (name.empty() || static_cast<std::size_t>(news.hearsay_size()) == kMaxEntries) continue;
     v1::Hearsay& out = *news.add_hearsay();
     out.set_server(name);
     out.set_wait_ms(milliseconds(each.wait_s));
     out.set_age_ms(milliseconds(each.age_s));
-    if (news.ByteSizeLong() > kMostBytes) {
+    if (news.ByteSizeLong() > kMaxDatagramBytes) {
       news.mutable_hearsay()->RemoveLast();
       break;
     }
@@ -43,7 +43,8 @@
                                      const std::function<ServerId(const std::string&)>& number,
                                      std::string& why) {
   v1::News news;
-  if (bytes.size() > kMostBytes || !news.ParseFromArray(bytes.data(), static_cast<int>(bytes.size()))) {
+  if (bytes.size() > kMaxDatagramBytes ||
+      !news.ParseFromArray(bytes.data(), static_cast<int>(bytes.size()))) {
     why = "no message of a proxy";
     return std::nullopt;
   }
@@ -55,7 +56,7 @@
     why = "says that it comes from proxy " + std::to_string(news.sender());
     return std::nullopt;
   }
-  if (static_cast<std::size_t>(news.hearsay_size()) > kMostHearsay) {
+  if (static_cast<std::size_t>(news.hearsay_size()) > kMaxEntries) {
     why = "too many servers";
     return std::nullopt;
   }
--- a/src/fleet/hearsay.hpp
+++ b/src/fleet/gossip.hpp
@@ -1,8 +1,8 @@
 // Messages between proxies: protobuf datagrams, checked before they are believed.
 //
 // Pure: bytes in, news out. No rule rests on what they say.
-#ifndef MINTROCK_SRC_FLEET_HEARSAY_HPP_
-#define MINTROCK_SRC_FLEET_HEARSAY_HPP_
+#ifndef MINTROCK_SRC_FLEET_GOSSIP_HPP_
+#define MINTROCK_SRC_FLEET_GOSSIP_HPP_
 
 #include <cstdint>
 #include <functional>
@@ -16,8 +16,8 @@
 
 namespace mintrock::fleet {
 
-inline constexpr std::size_t kMostBytes = 1400;  // of a datagram
-inline constexpr std::size_t kMostHearsay = 64;  // servers in one message
+inline constexpr std::size_t kMaxDatagramBytes = 1400;  // of a datagram
+inline constexpr std::size_t kMaxEntries = 64;          // servers in one message
 inline constexpr std::uint32_t kVersion = 1;
 
 // Writes messages of one proxy.
@@ -55,4 +55,4 @@
 
 }  // namespace mintrock::fleet
 
-#endif  // MINTROCK_SRC_FLEET_HEARSAY_HPP_
+#endif  // MINTROCK_SRC_FLEET_GOSSIP_HPP_
--- a/src/instance/bytes.cpp
+++ b/src/instance/bytes.cpp
@@ -44,7 +44,7 @@
 }
 
 std::string_view Reader::bytes(std::size_t count) {
-  if (count > left()) throw FormatError("frame ends inside a record");
+  if (count > remaining()) throw FormatError("frame ends inside a record");
   const std::string_view part = data_.substr(at_, count);
   at_ += count;
   return part;
--- a/src/instance/bytes.hpp
+++ b/src/instance/bytes.hpp
@@ -38,7 +38,7 @@
   double f64();
   bool boolean();
   std::string_view bytes(std::size_t count);
-  std::size_t left() const { return data_.size() - at_; }
+  std::size_t remaining() const { return data_.size() - at_; }
 
  private:
   std::uint64_t bits(std::size_t width);
--- a/src/instance/hearsay.hpp
+++ b/src/instance/gossip.hpp
@@ -1,7 +1,7 @@
 // The bytes of a message between proxies, within 256: version, number of entries, then for each the server,
 // the wait and its age in milliseconds. A message of another version or of a wrong length says nothing.
-#ifndef MINTROCK_SRC_INSTANCE_HEARSAY_HPP_
-#define MINTROCK_SRC_INSTANCE_HEARSAY_HPP_
+#ifndef MINTROCK_SRC_INSTANCE_GOSSIP_HPP_
+#define MINTROCK_SRC_INSTANCE_GOSSIP_HPP_
 
 #include <string>
 #include <string_view>
@@ -11,9 +11,9 @@
 
 namespace mintrock::instance {
 
-std::string pack_hearsay(const std::vector<Hearsay>& hearsay);
-std::vector<Hearsay> unpack_hearsay(std::string_view bytes);
+std::string pack_gossip(const std::vector<Hearsay>& hearsay);
+std::vector<Hearsay> unpack_gossip(std::string_view bytes);
 
 }  // namespace mintrock::instance
 
-#endif  // MINTROCK_SRC_INSTANCE_HEARSAY_HPP_
+#endif  // MINTROCK_SRC_INSTANCE_GOSSIP_HPP_
--- a/src/instance/settings.cpp
+++ b/src/instance/settings.cpp
@@ -117,7 +117,7 @@
   pairs.read("limits.retry_after", s.gives_retry_after);
   if (const std::string* mode = pairs.find("registry_mode")) s.asks_for_list = *mode == "ask";
   if (const std::string* fields = pairs.find("load_info.fields")) {
-    for (const std::string& name : Pairs::split(*fields)) out.fields.push_back(field_named(name));
+    for (const std::string& name : Pairs::split(*fields)) out.report_fields.push_back(parse_field(name));
   }
   return out;
 }
@@ -138,7 +138,7 @@
   return parse_settings(std::move(pairs));
 }
 
-Field field_named(std::string_view name) {
+Field parse_field(std::string_view name) {
   static constexpr std::pair<std::string_view, Field> kNames[] = {{"spare", Field::kSpare},
                                                                   {"total", Field::kTotal},
                                                                   {"mean_ms", Field::kWaitMs},
@@ -149,7 +149,7 @@
   return Field::kUnknown;
 }
 
-void put_figure(Report& report, Field field, double value) {
+void set_field(Report& report, Field field, double value) {
   switch (field) {
     case Field::kSpare:
       report.spare = value;
@@ -171,7 +171,7 @@
 Report make_report(const std::vector<Field>& fields, const std::vector<float>& values) {
   Report report;
   for (std::size_t i = 0; i < values.size() && i < fields.size(); ++i)
-    put_figure(report, fields[i], values[i]);
+    set_field(report, fields[i], values[i]);
   return report;
 }
 
--- a/src/instance/settings.hpp
+++ b/src/instance/settings.hpp
@@ -17,7 +17,7 @@
 // The library's part, and the order of the values in load reports.
 struct InstanceSettings {
   Settings settings;
-  std::vector<Field> fields;
+  std::vector<Field> report_fields;
 };
 
 // Lists of plain values are joined by commas; a list of objects or lists has its length under path.count and
@@ -27,8 +27,8 @@
 // The same from text, a pair a line.
 InstanceSettings parse_settings(std::string_view text);
 
-Field field_named(std::string_view name);
-void put_figure(Report& report, Field field, double value);
+Field parse_field(std::string_view name);
+void set_field(Report& report, Field field, double value);
 Report make_report(const std::vector<Field>& fields, const std::vector<float>& values);
 
 }  // namespace mintrock::instance
--- a/src/lab/bench.cpp
+++ b/src/lab/bench.cpp
@@ -24,7 +24,7 @@
 #include "lab/line.hpp"
 #include "lab/process.hpp"
 #include "lab/scenario.hpp"
-#include "list/pool_list.hpp"
+#include "list/server_list.hpp"
 
 namespace mintrock::lab {
 namespace {
@@ -323,9 +323,9 @@
   const std::string dir = make_temporary_folder("mintrock-restart");
   PortFinder ports;
   const std::uint16_t core = ports.next(), nobody = ports.next();
-  mintrock::list::News news;
+  mintrock::list::Update news;
   news.entries = {{kCore, "127.0.0.1:" + std::to_string(core)}};
-  std::ofstream(dir + "/list.json") << mintrock::list::print_news(news);
+  std::ofstream(dir + "/list.json") << mintrock::list::print_update(news);
   Children children;
   children.spawn({"/proc/self/exe", "bench-core", "--port", std::to_string(core)});
   wait_for_port(core);
@@ -364,9 +364,9 @@
   PortFinder ports;
   const std::uint16_t core = ports.next(), relay = ports.next(), edge = ports.next(), admin = ports.next(),
                       nobody = ports.next();
-  mintrock::list::News news;
+  mintrock::list::Update news;
   news.entries = {{kCore, "127.0.0.1:" + std::to_string(core)}};
-  std::ofstream(dir + "/list.json") << mintrock::list::print_news(news);
+  std::ofstream(dir + "/list.json") << mintrock::list::print_update(news);
   std::ofstream(dir + "/edge.yaml") << edge_config(edge, admin, nobody, dir);
   Children children;
   children.spawn({"/proc/self/exe", "bench-core", "--port", std::to_string(core)});
--- a/src/lab/checker.cpp
+++ b/src/lab/checker.cpp
@@ -12,7 +12,7 @@
 #include "diameter/dictionary.hpp"
 #include "edge/credit_control.hpp"
 #include "lab/processor.hpp"
-#include "list/pool_list.hpp"
+#include "list/server_list.hpp"
 
 namespace mintrock::lab {
 namespace {
@@ -231,9 +231,9 @@
   }
 
   void list(const v1::Record& record) {
-    list::News news;
+    list::Update news;
     try {
-      news = list::parse_news(record.text());
+      news = list::parse_update(record.text());
     } catch (const std::exception&) {
       return;
     }
--- a/src/lab/list.cpp
+++ b/src/lab/list.cpp
@@ -8,7 +8,7 @@
 
 #include "lab/line.hpp"
 #include "lab/parts.hpp"
-#include "list/pool_list.hpp"
+#include "list/server_list.hpp"
 
 namespace mintrock::lab {
 namespace {
@@ -101,8 +101,8 @@
     }
   }
 
-  void tell(Subscriber& to, const mintrock::list::News& news) {
-    const std::string json = mintrock::list::print_news(news);
+  void tell(Subscriber& to, const mintrock::list::Update& news) {
+    const std::string json = mintrock::list::print_update(news);
     v1::Record record;
     record.set_time(loop_.now());
     record.set_kind(v1::Record::LIST);
--- a/src/lab/soak/callers.cpp
+++ b/src/lab/soak/callers.cpp
@@ -9,7 +9,7 @@
 namespace mintrock::lab::soak {
 namespace {
 
-using platform::CallerType;
+using platform::CallerMessageType;
 using platform::Parameter;
 
 constexpr std::size_t kMostUnsent = 1 << 20;  // bytes
@@ -22,11 +22,11 @@
 
 std::string setup_bytes(std::uint64_t id, const std::string& service_class, double left_s,
                         const std::string& figures) {
-  return write_message(CallerType::kSetup, id,
+  return write_message(CallerMessageType::kSetup, id,
                        {{Parameter::kClass, service_class},
-                        {Parameter::kLeft, std::to_string(static_cast<int>(left_s * 1000))},
-                        {Parameter::kNumber, platform::hex_id(id)},
-                        {Parameter::kFigures, figures},
+                        {Parameter::kTimeLeft, std::to_string(static_cast<int>(left_s * 1000))},
+                        {Parameter::kCalledNumber, platform::hex_id(id)},
+                        {Parameter::kAttributes, figures},
                         {Parameter::kDescription, "offer"}});
 }
 
@@ -120,7 +120,7 @@
   Connection& connection = connections_.at(id);
   connection.up = true;
   connection.active = loop_.now();
-  if (!ready_) connection.stream->write(write_message(CallerType::kTest, 1, {}));
+  if (!ready_) connection.stream->write(write_message(CallerMessageType::kTest, 1, {}));
 }
 
 std::size_t Callers::usable_connection() {
@@ -204,8 +204,8 @@
 void Callers::take(std::size_t connection, const platform::CallerMessage& message) {
   const double now = loop_.now();
   connections_.at(connection).active = now;
-  switch (static_cast<CallerType>(message.type)) {
-    case CallerType::kTestResult: {
+  switch (static_cast<CallerMessageType>(message.type)) {
+    case CallerMessageType::kTestResult: {
       if (ready_ || read_cause(message) != kTestPassed) return;
       ready_ = true;
       for (const auto& [id, server] : standing_) {
@@ -215,9 +215,9 @@
       }
       return;
     }
-    case CallerType::kAnswer:
+    case CallerMessageType::kAnswer:
       return answered(message.call, std::string(message.find(Parameter::kDescription)));
-    case CallerType::kRelease: {
+    case CallerMessageType::kRelease: {
       if (standing_.erase(message.call) != 0) return ledger_.told_over(message.call, now);
       if (open_.erase(message.call) == 0) return;  // told over twice, or it crossed
       const int cause = read_cause(message);
--- a/src/lab/soak/callers.hpp
+++ b/src/lab/soak/callers.hpp
@@ -56,7 +56,7 @@
   };
   struct Connection {
     std::shared_ptr<net::Stream> stream;
-    platform::MessageCutter cutter;
+    platform::MessageParser cutter;
     bool up = false;
     double active = 0;
     std::string rest;  // of a message that goes out in pieces
--- a/src/list/client.cpp
+++ b/src/list/client.cpp
@@ -85,7 +85,7 @@
   handlers_.on_failed(why);
 }
 
-void Client::again_after(const std::string& id) {
+void Client::resubscribe_after(const std::string& id) {
   close();
   sse_.set_last_id(id);
   retry_later();
--- a/src/list/client.hpp
+++ b/src/list/client.hpp
@@ -34,7 +34,7 @@
   // What is known already, from elsewhere: the subscription goes on behind this event.
   void resume_after(const std::string& id) { sse_.set_last_id(id); }
   // What came behind this event is not to be believed: it is asked for again, at the gaps of a failure.
-  void again_after(const std::string& id);
+  void resubscribe_after(const std::string& id);
 
  private:
   void retry_later();
--- a/src/list/event_order.hpp
+++ b/src/list/event_order.hpp
@@ -12,27 +12,27 @@
 
 class EventOrder {
  public:
-  enum class Verdict { kTake, kSkip, kAskAgain };
+  enum class Decision { kApply, kSkip, kResubscribe };
   explicit EventOrder(std::uint64_t last) : last_(last) {}
 
   // A whole list needs nothing before it.
-  Verdict judge(std::uint64_t number, bool whole) {
-    if (asking_ || number <= last_) return Verdict::kSkip;
+  Decision classify(std::uint64_t number, bool whole) {
+    if (asking_ || number <= last_) return Decision::kSkip;
     if (number > last_ + 1 && !whole && asked_ < kMostAsked) return ask();
     last_ = number;
     asked_ = 0;
-    return Verdict::kTake;
+    return Decision::kApply;
   }
-  Verdict unreadable() { return asking_ || asked_ >= kMostAsked ? Verdict::kSkip : ask(); }
-  void begun_again() { asking_ = false; }
+  Decision on_unreadable() { return asking_ || asked_ >= kMostAsked ? Decision::kSkip : ask(); }
+  void on_resubscribed() { asking_ = false; }
   std::uint64_t last() const { return last_; }  // the last one taken
 
  private:
   static constexpr int kMostAsked = 3;
-  Verdict ask() {
+  Decision ask() {
     asked_ += 1;
     asking_ = true;
-    return Verdict::kAskAgain;
+    return Decision::kResubscribe;
   }
   std::uint64_t last_;
   int asked_ = 0;        // times, behind last_
--- a/src/list/pool_list.cpp
+++ b/src/list/server_list.cpp
@@ -1,4 +1,4 @@
-#include "list/pool_list.hpp"
+#include "list/server_list.hpp"
 
 #include <algorithm>
 #include <cmath>
@@ -57,19 +57,19 @@
 
 }  // namespace
 
-News parse_news(const std::string& text) {
+Update parse_update(const std::string& text) {
   const json parsed = json::parse(text, nullptr, false);
   if (!parsed.is_object()) throw std::runtime_error("the list's event is no JSON object");
-  News news;
+  Update update;
   const auto revision = parsed.find("revision");
   if (revision == parsed.end() || !revision->is_number_unsigned()) {
     throw std::runtime_error("the list's event has no revision");
   }
-  news.revision = revision->get<std::uint64_t>();
+  update.revision = revision->get<std::uint64_t>();
   const std::string mode = parsed.value("mode", json("")).is_string() ? parsed.value("mode", "") : "";
   if (mode != "full" && mode != "delta")
     throw std::runtime_error("the list's mode is neither full nor delta");
-  news.full = mode == "full";
+  update.full = mode == "full";
   const auto entries = parsed.find("entries");
   if (entries == parsed.end() || !entries->is_array() || entries->size() > kMostEntries) {
     throw std::runtime_error("the list's entries are missing, or too many");
@@ -79,17 +79,17 @@
     try {
       Entry entry = parse_entry((*entries)[i]);
       if (!seen.insert(entry.identity).second) throw std::runtime_error("named twice");
-      news.entries.push_back(std::move(entry));
+      update.entries.push_back(std::move(entry));
     } catch (const std::exception& error) {
-      news.faults.push_back("entry " + std::to_string(i) + ": " + error.what());
+      update.errors.push_back("entry " + std::to_string(i) + ": " + error.what());
     }
   }
-  return news;
+  return update;
 }
 
-std::string print_news(const News& news) {
+std::string print_update(const Update& update) {
   json entries = json::array();
-  for (const Entry& entry : news.entries) {
+  for (const Entry& entry : update.entries) {
     entries.push_back({{"identity", entry.identity},
                        {"address", entry.address},
                        {"node", entry.node},
@@ -98,17 +98,17 @@
                        {"state", name(entry.state)},
                        {"started_at", entry.started_at}});
   }
-  return json{{"revision", news.revision}, {"mode", news.full ? "full" : "delta"}, {"entries", entries}}
+  return json{{"revision", update.revision}, {"mode", update.full ? "full" : "delta"}, {"entries", entries}}
       .dump();
 }
 
-bool Book::take(const News& news) {
-  if (news.revision < revision_) return false;
-  revision_ = news.revision;
-  if (news.full) {
+bool ServerTable::apply(const Update& update) {
+  if (update.revision < revision_) return false;
+  revision_ = update.revision;
+  if (update.full) {
     for (auto& [id, entry] : entries_) entry.state = ServerEntry::State::kGone;
   }
-  for (const Entry& entry : news.entries) {
+  for (const Entry& entry : update.entries) {
     ServerId& id = numbers_[entry.identity];
     if (id == 0) id = ++last_;
     const std::string address = entry.address.empty() ? entries_[id].address : entry.address;
@@ -118,12 +118,12 @@
   return true;
 }
 
-ServerList Book::event(const News& news, ServerList::Mode mode, double now, double wall) {
+ServerList ServerTable::to_server_list(const Update& update, ServerList::Mode mode, double now, double wall) {
   ServerList out;
   out.mode = mode;
-  for (const Entry& entry : news.entries) {
+  for (const Entry& entry : update.entries) {
     ServerEntry each;
-    each.id = number(entry.identity);
+    each.id = id_of(entry.identity);
     each.node = entry.node;
     each.kind = entry.kind;
     each.weight = entry.weight;
@@ -135,7 +135,7 @@
   return out;
 }
 
-void Book::forget(ServerId server) {
+void ServerTable::forget(ServerId server) {
   const auto found = entries_.find(server);
   if (found == entries_.end()) return;
   const auto named = numbers_.find(found->second.identity);
@@ -143,11 +143,11 @@
   entries_.erase(found);
 }
 
-ServerList Book::retire_moved(const News& news) {
+ServerList ServerTable::retire_moved_servers(const Update& update) {
   ServerList out;
   out.mode = ServerList::Mode::kDelta;
-  if (news.revision < revision_) return out;
-  for (const Entry& entry : news.entries) {
+  if (update.revision < revision_) return out;
+  for (const Entry& entry : update.entries) {
     const auto named = numbers_.find(entry.identity);
     if (named == numbers_.end() || entry.state != ServerEntry::State::kReady) continue;
     Entry& known = entries_[named->second];
@@ -162,23 +162,23 @@
   return out;
 }
 
-const Entry* Book::find(ServerId server) const {
+const Entry* ServerTable::find(ServerId server) const {
   const auto found = entries_.find(server);
   return found == entries_.end() ? nullptr : &found->second;
 }
 
-ServerId Book::number(const std::string& identity) const {
+ServerId ServerTable::id_of(const std::string& identity) const {
   const auto found = numbers_.find(identity);
   return found == numbers_.end() ? 0 : found->second;
 }
 
-News Book::snapshot() const {
-  News news;
-  news.revision = revision_;
+Update ServerTable::snapshot() const {
+  Update update;
+  update.revision = revision_;
   for (const auto& [id, entry] : entries_) {
-    if (entry.state != ServerEntry::State::kGone) news.entries.push_back(entry);
+    if (entry.state != ServerEntry::State::kGone) update.entries.push_back(entry);
   }
-  return news;
+  return update;
 }
 
 }  // namespace mintrock::list
--- a/src/list/pool_list.hpp
+++ b/src/list/server_list.hpp
@@ -2,8 +2,8 @@
 // the decisions use.
 //
 // Pure: text and times in, news out. docs/edge-design.md has the form of the text.
-#ifndef MINTROCK_SRC_LIST_POOL_LIST_HPP_
-#define MINTROCK_SRC_LIST_POOL_LIST_HPP_
+#ifndef MINTROCK_SRC_LIST_SERVER_LIST_HPP_
+#define MINTROCK_SRC_LIST_SERVER_LIST_HPP_
 
 #include <cstdint>
 #include <map>
@@ -25,38 +25,38 @@
   double started_at = 0;  // s since the Unix epoch; 0: long ago
 };
 
-struct News {
+struct Update {
   std::uint64_t revision = 0;
   bool full = true;
   std::vector<Entry> entries;
-  std::vector<std::string> faults;  // entries that were left out, each one line: which, and what is wrong
+  std::vector<std::string> errors;  // entries that were left out, each one line: which, and what is wrong
 };
 
-// Reads one event's JSON. A broken entry is left out and named in `faults`, the rest stands; text that is no
+// Reads one event's JSON. A broken entry is left out and named in `errors`, the rest stands; text that is no
 // list at all throws std::runtime_error.
-News parse_news(const std::string& json);
-std::string print_news(const News& news);
+Update parse_update(const std::string& json);
+std::string print_update(const Update& update);
 
 // What this proxy knows of the list: one number for each identity, never given to another.
-class Book {
+class ServerTable {
  public:
-  // Merges news; false if its revision is older than what is known (it is then ignored).
-  bool take(const News& news);
+  // Merges update; false if its revision is older than what is known (it is then ignored).
+  bool apply(const Update& update);
   // The same news for the decisions. `since` on the monotonic clock, from the wall clock at the same instant.
-  ServerList event(const News& news, ServerList::Mode mode, double now, double wall);
+  ServerList to_server_list(const Update& update, ServerList::Mode mode, double now, double wall);
 
   // An identity that is told to serve at a new address is another process: what was known by it is gone,
-  // under its old number. To be asked before take(); tells which those are.
-  ServerList retire_moved(const News& news);
+  // under its old number. To be asked before apply(); tells which those are.
+  ServerList retire_moved_servers(const Update& update);
   // One that is gone, and that nobody asks for any more. Its number is not given again.
   void forget(ServerId server);
 
   const std::map<ServerId, Entry>& entries() const { return entries_; }
   const Entry* find(ServerId server) const;
-  ServerId number(const std::string& identity) const;  // 0: unknown
+  ServerId id_of(const std::string& identity) const;  // 0: unknown
   std::uint64_t revision() const { return revision_; }
   // All that is known and not gone, for the file that a restart begins with.
-  News snapshot() const;
+  Update snapshot() const;
 
  private:
   std::map<std::string, ServerId> numbers_;
@@ -67,4 +67,4 @@
 
 }  // namespace mintrock::list
 
-#endif  // MINTROCK_SRC_LIST_POOL_LIST_HPP_
+#endif  // MINTROCK_SRC_LIST_SERVER_LIST_HPP_
--- a/src/platform/caller_codec.cpp
+++ b/src/platform/caller_codec.cpp
@@ -43,7 +43,7 @@
     const std::string_view value = item.substr(colon + 1);
     if (name == "at") {
       if (value.empty() || value.size() > kMostName) return "no core server is named so";
-      out.stands_at = std::string(value);
+      out.established_server = std::string(value);
       continue;
     }
     const auto read = instance::read_finite(value);
@@ -79,9 +79,9 @@
   return {};
 }
 
-std::optional<CallerMessage> MessageCutter::next() {
+std::optional<CallerMessage> MessageParser::next() {
   if (fault_ != nullptr) return std::nullopt;
-  if (at_ > 0 && (at_ == buffer_.size() || at_ >= kMostMessage)) {
+  if (at_ > 0 && (at_ == buffer_.size() || at_ >= kMaxMessageSize)) {
     buffer_.erase(0, at_);
     at_ = 0;
     if (buffer_.empty()) buffer_.shrink_to_fit();  // thousands of quiet connections hold nothing
@@ -93,7 +93,7 @@
     fault_ = "length too small";
     return std::nullopt;
   }
-  if (length + kLengthSize > kMostMessage) {
+  if (length + kLengthSize > kMaxMessageSize) {
     fault_ = "length too large";
     return std::nullopt;
   }
@@ -139,19 +139,19 @@
   }
   out.service_class = std::string(message.find(Parameter::kClass));
   if (out.service_class.empty() || out.service_class.size() > kMostName) return fault("no class");
-  const auto left_ms = instance::read_finite(message.find(Parameter::kLeft));
+  const auto left_ms = instance::read_finite(message.find(Parameter::kTimeLeft));
   if (!left_ms) return fault("the time left is no number");
   if (*left_ms <= 0 || *left_ms > kMostLeftMs) return fault("the time left is out of range");
-  out.left_s = *left_ms / 1000;
-  const std::string_view retry = message.find(Parameter::kRetry);
+  out.time_left_s = *left_ms / 1000;
+  const std::string_view retry = message.find(Parameter::kRedial);
   if (!retry.empty() && retry != "0" && retry != "1") return fault("the retry mark is neither 0 nor 1");
   out.redialled = retry == "1";
-  out.number = std::string(message.find(Parameter::kNumber));
+  out.number = std::string(message.find(Parameter::kCalledNumber));
   if (out.number.size() > kMostName) return fault("the number called is too long");
   out.key = out.number.empty() ? 0 : key_of(out.number);
-  if (const char* bad = read_figures(message.find(Parameter::kFigures), out)) return fault(bad);
+  if (const char* bad = read_figures(message.find(Parameter::kAttributes), out)) return fault(bad);
   out.description = std::string(message.find(Parameter::kDescription));
-  if (out.description.empty() && out.stands_at.empty()) return fault("no description");
+  if (out.description.empty() && out.established_server.empty()) return fault("no description");
   // What can't stand in a JSON line can't be passed on; a core server closes over it, with all that is open.
   for (const std::string* text : {&out.service_class, &out.number, &out.description}) {
     if (!instance::valid_utf8(*text)) return fault("text that is no UTF-8");
@@ -164,7 +164,7 @@
   return value.size() == 1 ? static_cast<unsigned char>(value[0]) : kCauseNormal;
 }
 
-std::string write_message(CallerType type, std::uint64_t call,
+std::string write_message(CallerMessageType type, std::uint64_t call,
                           const std::vector<std::pair<Parameter, std::string>>& parameters) {
   std::string body;
   body.push_back(static_cast<char>(type));
@@ -180,20 +180,23 @@
 }
 
 std::string write_answer(std::uint64_t call, std::string_view description) {
-  return write_message(CallerType::kAnswer, call, {{Parameter::kDescription, std::string(description)}});
+  return write_message(CallerMessageType::kAnswer, call,
+                       {{Parameter::kDescription, std::string(description)}});
 }
 
-std::string write_release(std::uint64_t call, int cause, std::optional<std::uint32_t> stay_away_ms) {
+std::string write_release(std::uint64_t call, int cause, std::optional<std::uint32_t> retry_after_ms) {
   std::vector<std::pair<Parameter, std::string>> parameters;
-  if (stay_away_ms) parameters.emplace_back(Parameter::kStayAway, std::to_string(*stay_away_ms));
+  if (retry_after_ms) parameters.emplace_back(Parameter::kRetryAfter, std::to_string(*retry_after_ms));
   parameters.emplace_back(Parameter::kCause, std::string(1, static_cast<char>(cause)));
-  return write_message(CallerType::kRelease, call, parameters);
+  return write_message(CallerMessageType::kRelease, call, parameters);
 }
 
-std::string write_released(std::uint64_t call) { return write_message(CallerType::kReleased, call, {}); }
+std::string write_released(std::uint64_t call) {
+  return write_message(CallerMessageType::kReleased, call, {});
+}
 
 std::string write_test_passed(std::uint64_t call, bool passed) {
-  return write_message(CallerType::kTestResult, call,
+  return write_message(CallerMessageType::kTestResult, call,
                        {{Parameter::kCause, std::string(1, static_cast<char>(passed ? 1 : 0))}});
 }
 
--- a/src/platform/caller_codec.hpp
+++ b/src/platform/caller_codec.hpp
@@ -16,9 +16,9 @@
 
 namespace mintrock::platform {
 
-inline constexpr std::size_t kMostMessage = 16 << 10;  // bytes of any message, its length field included
+inline constexpr std::size_t kMaxMessageSize = 16 << 10;  // bytes of any message, its length field included
 
-enum class CallerType : std::uint8_t {
+enum class CallerMessageType : std::uint8_t {
   kSetup = 1,
   kProgress = 6,
   kAnswer = 9,
@@ -30,11 +30,11 @@
 
 enum class Parameter : std::uint8_t {
   kClass = 3,
-  kLeft = 5,
-  kRetry = 9,
-  kNumber = 11,
-  kFigures = 13,
-  kStayAway = 15,
+  kTimeLeft = 5,
+  kRedial = 9,
+  kCalledNumber = 11,
+  kAttributes = 13,
+  kRetryAfter = 15,
   kCause = 31,
   kDescription = 33
 };
@@ -47,7 +47,7 @@
 };
 
 // Cuts a stream into messages. After a fault the stream can't be read any further.
-class MessageCutter {
+class MessageParser {
  public:
   void feed(std::string_view bytes) { buffer_.append(bytes); }
   // The next whole message; its parameters are good until the next call of feed or next.
@@ -65,14 +65,14 @@
 struct CallSetup {
   std::uint64_t id = 0;
   std::string service_class;
-  double left_s = 0;
+  double time_left_s = 0;
   bool redialled = false;
   std::string number;     // passed on as it came
   std::uint64_t key = 0;  // the same for the decisions; 0: none
   double width = 1;
   std::int64_t first_choice = -1;
   bool was_cut = false;
-  std::string stands_at;  // it stands at this core server already; else empty
+  std::string established_server;  // it stands at this core server already; else empty
   std::string description;
 };
 
@@ -82,12 +82,12 @@
 int read_cause(const CallerMessage& message);
 
 std::string write_answer(std::uint64_t call, std::string_view description);
-std::string write_release(std::uint64_t call, int cause, std::optional<std::uint32_t> stay_away_ms = {});
+std::string write_release(std::uint64_t call, int cause, std::optional<std::uint32_t> retry_after_ms = {});
 std::string write_released(std::uint64_t call);
 std::string write_test_passed(std::uint64_t call, bool passed);
 
 // For tests and stand-ins.
-std::string write_message(CallerType type, std::uint64_t call,
+std::string write_message(CallerMessageType type, std::uint64_t call,
                           const std::vector<std::pair<Parameter, std::string>>& parameters);
 
 std::string hex_id(std::uint64_t id);                             // 16 digits
--- a/src/platform/caller_side.cpp
+++ b/src/platform/caller_side.cpp
@@ -65,13 +65,13 @@
 void CallerSide::tick(double now) {
   while (!ends_.empty() && ends_.front().until <= now) {
     ends_.pop_front();
-    counts_.ends_dropped += 1;
+    counters_.ends_dropped += 1;
   }
   while (!due_.empty() && due_.begin()->first <= now) {
     const ConnectionId which = due_.begin()->second;
     if (put_off_close(which, now)) continue;
     const bool answered = find(which)->answered;
-    (answered ? counts_.closed_idle : counts_.closed_silent) += 1;
+    (answered ? counters_.closed_idle : counters_.closed_silent) += 1;
     close(which, leaving_ ? CloseReason::kShutdown : answered ? CloseReason::kIdle : CloseReason::kSilent);
   }
 }
@@ -79,7 +79,7 @@
 // What has arrived unread may be a set-up, and is read in the next turn. A trickle need not end.
 bool CallerSide::put_off_close(ConnectionId which, double now) {
   Connection& connection = *find(which);
-  if (connection.put_off >= kMostPutOff || !ports_.has_unread(which)) return false;
+  if (connection.put_off >= kMostPutOff || !delegate_.has_unread(which)) return false;
   connection.put_off += 1;
   due_.erase({connection.due, which});
   connection.due = now + kReadFirst;
@@ -88,7 +88,7 @@
 }
 
 void CallerSide::opened(ConnectionId which, double now) {
-  counts_.connections += 1;
+  counters_.connections += 1;
   Connection& connection = connections_[which];
   connection.since = connection.active = now;
   watch(which, connection);
@@ -102,26 +102,26 @@
   while (connection != nullptr) {
     const auto message = connection->cutter.next();
     if (!message) break;
-    counts_.messages += 1;
+    counters_.messages += 1;
     take(from, *message, now);
     connection = find(from);  // a fault may have closed it
     if (connection != nullptr) connection->partial = now;
   }
   if (connection == nullptr) return;
   if (const char* what = connection->cutter.fault()) {
-    counts_.faults += 1;
-    ports_.caller_fault(from, what);
-    return close(from, CloseReason::kUnusable);
+    counters_.faults += 1;
+    delegate_.caller_fault(from, what);
+    return close(from, CloseReason::kInvalidMessages);
   }
   watch(from, *connection);
 }
 
 void CallerSide::take(ConnectionId from, const CallerMessage& message, double now) {
   Connection& connection = *find(from);
-  switch (static_cast<CallerType>(message.type)) {
-    case CallerType::kSetup:
+  switch (static_cast<CallerMessageType>(message.type)) {
+    case CallerMessageType::kSetup:
       return take_setup(from, message, now);
-    case CallerType::kRelease: {
+    case CallerMessageType::kRelease: {
       const auto owner = open_.find(message.call);
       if (owner != open_.end() && owner->second != from) {
         // Somebody else's open set-up.
@@ -130,26 +130,26 @@
       if (owner != open_.end()) {
         connection.open.erase(message.call);
         open_.erase(owner);
-        ports_.hang_up(message.call);
+        delegate_.hang_up(message.call);
         connection.active = now;
         return;
       }
-      if (ports_.hang_up(message.call)) {
+      if (delegate_.hang_up(message.call)) {
         stands_no_more(message.call, now);
-        ports_.send_to_caller(from, write_released(message.call));
+        delegate_.send_to_caller(from, write_released(message.call));
         connection.answered = true;
         connection.active = now;
       }
       return;  // one that is over already: its end has been told, or is not owed
     }
-    case CallerType::kTest:
-      ports_.send_to_caller(from, write_test_passed(message.call, true));
+    case CallerMessageType::kTest:
+      delegate_.send_to_caller(from, write_test_passed(message.call, true));
       connection.answered = true;
       connection.active = now;
       return;
-    case CallerType::kProgress:
+    case CallerMessageType::kProgress:
       return;
-    case CallerType::kReleased:
+    case CallerMessageType::kReleased:
       connection.told.erase(std::remove_if(connection.told.begin(), connection.told.end(),
                                            [&](const ToldEnd& each) { return each.id == message.call; }),
                             connection.told.end());
@@ -167,29 +167,29 @@
   const std::uint64_t id = setup->id;
   const auto owner = open_.find(id);
   if (owner != open_.end()) {
-    counts_.duplicates += 1;
+    counters_.duplicates += 1;
     if (owner->second == from) {
       // Which of the two an answer was for could not be told: neither is served.
       connection.open.erase(id);
       open_.erase(owner);
-      ports_.hang_up(id);
+      delegate_.hang_up(id);
     }
     return fault(from, id, "the id of an open set-up");
   }
-  if (!setup->stands_at.empty()) {
+  if (!setup->established_server.empty()) {
     connection.answered = true;    // none is owed
     stands(id, from, connection);  // first: it may be over already, and its end told at once
-    if (const char* bad = ports_.take_over(*setup)) {
+    if (const char* bad = delegate_.take_over(*setup)) {
       stands_no_more(id, now);
       return fault(from, id, bad);
     }
     return carry(from, connection, now);
   }
-  counts_.setups += 1;
+  counters_.setups += 1;
   connection.open.insert(id);
   open_.emplace(id, from);
   connection.active = now;
-  if (const char* bad = ports_.offer(std::move(*setup))) {
+  if (const char* bad = delegate_.offer(std::move(*setup))) {
     open_.erase(id);
     if (Connection* again = find(from)) again->open.erase(id);
     return fault(from, id, bad);
@@ -208,15 +208,15 @@
 }
 
 void CallerSide::fault(ConnectionId from, std::uint64_t id, const char* what) {
-  counts_.faults += 1;
-  ports_.caller_fault(from, what);
+  counters_.faults += 1;
+  delegate_.caller_fault(from, what);
   Connection& connection = *find(from);
   connection.faults += 1;
   if (id != 0) {
-    ports_.send_to_caller(from, write_release(id, kCauseInvalid));
+    delegate_.send_to_caller(from, write_release(id, kCauseInvalid));
     connection.answered = true;
   }
-  if (id == 0 || connection.faults >= kMostFaults) close(from, CloseReason::kUnusable);
+  if (id == 0 || connection.faults >= kMostFaults) close(from, CloseReason::kInvalidMessages);
 }
 
 CallerSide::Connection CallerSide::remove(ConnectionId which) {
@@ -228,7 +228,7 @@
   if (teller_ == which) teller_ = 0;
   for (const std::uint64_t id : gone.open) {
     open_.erase(id);
-    ports_.hang_up(id);
+    delegate_.hang_up(id);
   }
   return gone;
 }
@@ -239,12 +239,12 @@
   // What was written as the other side closed was not read.
   for (const ToldEnd& each : gone.told) {
     if (each.at + kEndInDoubt <= now) continue;
-    counts_.ends_repeated += 1;
-    end(each.id, each.cause, now);
+    counters_.ends_resent += 1;
+    report_end(each.id, each.cause, now);
   }
 }
 
-void CallerSide::leave() {
+void CallerSide::begin_shutdown() {
   leaving_ = true;
   for (auto& [which, connection] : connections_) watch(which, connection);
 }
@@ -254,12 +254,12 @@
 }
 
 void CallerSide::close(ConnectionId which, CloseReason reason) {
-  ports_.caller_closed(which, reason, find(which)->standing.size());
+  delegate_.caller_closed(which, reason, find(which)->standing.size());
   remove(which);
-  ports_.close_caller(which);
+  delegate_.close_caller(which);
 }
 
-ConnectionId CallerSide::spare_connection() const {
+ConnectionId CallerSide::eviction_candidate() const {
   using Rank = std::tuple<bool, bool, bool, double, ConnectionId>;
   std::vector<Rank> spare;
   for (const auto& [which, connection] : connections_) {
@@ -272,14 +272,14 @@
   for (; !spare.empty(); spare.pop_back()) {
     std::pop_heap(spare.begin(), spare.end(), lowest_last);
     const ConnectionId which = std::get<ConnectionId>(spare.back());
-    if (!ports_.has_unread(which)) return which;
+    if (!delegate_.has_unread(which)) return which;
   }
   return 0;
 }
 
-void CallerSide::close_for_room(ConnectionId which) {
-  counts_.closed_for_room += 1;
-  close(which, CloseReason::kForRoom);
+void CallerSide::evict(ConnectionId which) {
+  counters_.evicted += 1;
+  close(which, CloseReason::kEvicted);
 }
 
 void CallerSide::answer(std::uint64_t id, std::string_view description, double now) {
@@ -315,8 +315,9 @@
   watch(on, connection);
 }
 
-void CallerSide::refuse(std::uint64_t id, int cause, std::optional<std::uint32_t> stay_away_ms, double now) {
-  settle(id, write_release(id, cause, stay_away_ms), now);
+void CallerSide::refuse(std::uint64_t id, int cause, std::optional<std::uint32_t> retry_after_ms,
+                        double now) {
+  settle(id, write_release(id, cause, retry_after_ms), now);
 }
 
 ConnectionId CallerSide::settle(std::uint64_t id, std::string_view bytes, double now) {
@@ -328,7 +329,7 @@
   connection.open.erase(id);
   connection.answered = true;
   connection.active = now;
-  ports_.send_to_caller(to, bytes);
+  delegate_.send_to_caller(to, bytes);
   watch(to, connection);
   return to;
 }
@@ -339,11 +340,11 @@
     told.pop_front();
   }
   told.push_back({id, cause, now});
-  ports_.end_told(id, to);
-  ports_.send_to_caller(to, write_release(id, cause));
+  delegate_.end_reported(id, to);
+  delegate_.send_to_caller(to, write_release(id, cause));
 }
 
-void CallerSide::end(std::uint64_t id, int cause, double now) {
+void CallerSide::report_end(std::uint64_t id, int cause, double now) {
   const auto own = standing_.find(id);
   ConnectionId to = own != standing_.end() ? own->second : teller_;
   stands_no_more(id, now);
@@ -358,11 +359,11 @@
     if (best.first) teller_ = to;  // one that none was served on may be no caller's
   }
   if (to != 0) return tell_end(id, cause, to, now);
-  ports_.end_told(id, 0);
-  counts_.ends_kept += 1;
+  delegate_.end_reported(id, 0);
+  counters_.ends_queued += 1;
   if (ends_.size() >= kMostEnds) {
     ends_.pop_front();
-    counts_.ends_dropped += 1;
+    counters_.ends_dropped += 1;
   }
   ends_.push_back({id, cause, now + kKeepEnd});
 }
--- a/src/platform/caller_side.hpp
+++ b/src/platform/caller_side.hpp
@@ -1,9 +1,9 @@
 // The callers of an edge proxy: their connections, whose set-up is open on which, what is answered where, the
 // ends of calls that stand and are told on any connection, and which connections are closed.
 //
-// Pure: bytes and times in, calls of CallerPorts out; no sockets, no clock. Connections are numbers that the
-// shell gives. Bounded: by the connections that the shell admits, the calls that the shell takes, and the
-// ends that are kept for want of a connection.
+// Pure: bytes and times in, calls of CallerSideDelegate out; no sockets, no clock. Connections are numbers
+// that the shell gives. Bounded: by the connections that the shell admits, the calls that the shell takes,
+// and the ends that are kept for want of a connection.
 #ifndef MINTROCK_SRC_PLATFORM_CALLER_SIDE_HPP_
 #define MINTROCK_SRC_PLATFORM_CALLER_SIDE_HPP_
 
@@ -23,11 +23,11 @@
 using ConnectionId = std::uint64_t;  // never used again
 
 // Why this proxy closes a caller's connection.
-enum class CloseReason { kSilent, kIdle, kForRoom, kUnusable, kShutdown };
+enum class CloseReason { kSilent, kIdle, kEvicted, kInvalidMessages, kShutdown };
 
-class CallerPorts {
+class CallerSideDelegate {
  public:
-  virtual ~CallerPorts() = default;
+  virtual ~CallerSideDelegate() = default;
   virtual void send_to_caller(ConnectionId to, std::string_view bytes) = 0;
   // What was written arrives; the shell calls nothing of this connection's any more.
   virtual void close_caller(ConnectionId which) = 0;
@@ -44,10 +44,10 @@
   // Likewise: a connection is closed here, with this many calls on it that stand.
   virtual void caller_closed(ConnectionId which, CloseReason reason, std::size_t standing) = 0;
   // Likewise: the end of a call that stood was written to a connection; 0: kept until there is one.
-  virtual void end_told(std::uint64_t id, ConnectionId to) = 0;
+  virtual void end_reported(std::uint64_t id, ConnectionId to) = 0;
 };
 
-struct CallerCounts {
+struct CallerCounters {
   std::uint64_t connections = 0;
   std::uint64_t messages = 0;
   std::uint64_t setups = 0;
@@ -55,15 +55,15 @@
   std::uint64_t duplicates = 0;     // the id of an open set-up
   std::uint64_t closed_silent = 0;  // nothing usable came in time
   std::uint64_t closed_idle = 0;
-  std::uint64_t closed_for_room = 0;
-  std::uint64_t ends_kept = 0;      // told later, for want of a connection
-  std::uint64_t ends_dropped = 0;   // never told
-  std::uint64_t ends_repeated = 0;  // told again, since their connection was lost
+  std::uint64_t evicted = 0;
+  std::uint64_t ends_queued = 0;   // told later, for want of a connection
+  std::uint64_t ends_dropped = 0;  // never told
+  std::uint64_t ends_resent = 0;   // told again, since their connection was lost
 };
 
 class CallerSide {
  public:
-  explicit CallerSide(CallerPorts& ports) : ports_(ports) {}
+  explicit CallerSide(CallerSideDelegate& delegate) : delegate_(delegate) {}
 
   // ---- From the shell ----
   void opened(ConnectionId which, double now);
@@ -74,26 +74,26 @@
   // The connection to close for a new one when there is no room: the one that has said nothing for longest,
   // else the one that has carried nothing for longest; those whose calls stand after these, those with a
   // message half arrived last. 0: each has an open set-up, or bytes that were not read yet.
-  ConnectionId spare_connection() const;
-  void close_for_room(ConnectionId which);
+  ConnectionId eviction_candidate() const;
+  void evict(ConnectionId which);
   // The process ends: each connection falls due once nothing on it is owed an answer or has begun to arrive.
-  void leave();
+  void begin_shutdown();
   void close_all();
 
   // ---- From the desk ----
   void answer(std::uint64_t id, std::string_view description, double now);
-  void refuse(std::uint64_t id, int cause, std::optional<std::uint32_t> stay_away_ms, double now);
+  void refuse(std::uint64_t id, int cause, std::optional<std::uint32_t> retry_after_ms, double now);
   // A call that stood is over: told on the connection that it came on, else on any that calls came on, kept
   // until there is one.
-  void end(std::uint64_t id, int cause, double now);
+  void report_end(std::uint64_t id, int cause, double now);
 
   // Ends of calls that no connection could carry yet.
-  std::size_t ends_waiting() const { return ends_.size(); }
+  std::size_t pending_ends() const { return ends_.size(); }
   std::size_t connections() const { return connections_.size(); }
-  std::size_t open() const { return open_.size(); }
-  std::size_t standing() const { return standing_.size(); }
-  std::size_t kept_ends() const { return ends_.size(); }
-  const CallerCounts& counts() const { return counts_; }
+  std::size_t open_setups() const { return open_.size(); }
+  std::size_t established() const { return standing_.size(); }
+  std::size_t unsent_ends() const { return ends_.size(); }
+  const CallerCounters& counters() const { return counters_; }
 
  private:
   // An end that was written to a connection, and may be lost with it.
@@ -103,7 +103,7 @@
     double at = 0;
   };
   struct Connection {
-    MessageCutter cutter;
+    MessageParser cutter;
     std::deque<ToldEnd> told;          // lately, and not heard by the caller as far as is known
     std::set<std::uint64_t> open;      // set-ups that are owed an answer here
     std::set<std::uint64_t> standing;  // calls that came on it and stand: its caller waits for their ends
@@ -142,7 +142,7 @@
   double due_of(const Connection& connection) const;
   void watch(ConnectionId which, Connection& connection);
 
-  CallerPorts& ports_;
+  CallerSideDelegate& delegate_;
   std::unordered_map<ConnectionId, Connection> connections_;
   std::unordered_map<std::uint64_t, ConnectionId> open_;      // where each open set-up is owed its answer
   std::unordered_map<std::uint64_t, ConnectionId> standing_;  // where each call that stands came, while open
@@ -150,7 +150,7 @@
   bool leaving_ = false;
   ConnectionId teller_ = 0;  // where ends are told; 0: to be looked for
   std::deque<End> ends_;
-  CallerCounts counts_;
+  CallerCounters counters_;
 };
 
 }  // namespace mintrock::platform
--- a/src/platform/config.cpp
+++ b/src/platform/config.cpp
@@ -106,25 +106,27 @@
       into.push_back(name.get<std::string>());
     }
   };
-  names("classes", out.classes, true);
-  names("skus", out.kinds, false);
-  if (out.classes.empty()) bad("no classes");
+  names("classes", out.class_names, true);
+  names("skus", out.kind_names, false);
+  if (out.class_names.empty()) bad("no classes");
   if (settings.contains("limits") && settings["limits"].is_object()) {
-    out.connect_s = number(settings["limits"], "connect_timeout_s", 0.01, 60, out.connect_s);
-    out.most_open = static_cast<std::uint32_t>(number(settings["limits"], "open_cap", 1, 1e7, out.most_open));
+    out.connect_timeout_s = number(settings["limits"], "connect_timeout_s", 0.01, 60, out.connect_timeout_s);
+    out.max_open_calls =
+        static_cast<std::uint32_t>(number(settings["limits"], "open_cap", 1, 1e7, out.max_open_calls));
   }
   const json& known = member(parsed, "known");
   if (!known.is_object()) bad("known is no object");
   const json& batch = member(known, "batch");
   if (!batch.is_array()) bad("batch is no list");
-  for (const json& each : batch) out.known.push_back(parse_topology_event(each.dump(), out.kinds));
+  for (const json& each : batch)
+    out.known_servers.push_back(parse_topology_event(each.dump(), out.kind_names));
   const json& offset = member(known, "offset");
   if (!offset.is_number_unsigned()) bad("offset is no number");
-  out.offset = offset.get<std::uint64_t>();
+  out.list_offset = offset.get<std::uint64_t>();
   return out;
 }
 
-net::Address parse_bus(const std::string& file) {
+net::Address parse_bus_address(const std::string& file) {
   return net::parse_address(text(parse_object(file), "bus"));
 }
 
--- a/src/platform/config.hpp
+++ b/src/platform/config.hpp
@@ -26,17 +26,17 @@
   std::uint32_t memory_mb = 192;
   std::uint32_t sockets = 256;
   instance::InstanceSettings instance;
-  std::vector<std::string> classes;  // their names, in order
-  std::vector<std::string> kinds;
-  double connect_s = 0.5;
-  std::uint32_t most_open = 20000;
-  std::vector<TopologyEvent> known;
-  std::uint64_t offset = 0;  // number of the last event known
+  std::vector<std::string> class_names;  // their names, in order
+  std::vector<std::string> kind_names;
+  double connect_timeout_s = 0.5;
+  std::uint32_t max_open_calls = 20000;
+  std::vector<TopologyEvent> known_servers;
+  std::uint64_t list_offset = 0;  // number of the last event known
 };
 
 Config parse_config(const std::string& text);
 // The event bus's address alone, as a replaced file tells it.
-net::Address parse_bus(const std::string& text);
+net::Address parse_bus_address(const std::string& text);
 
 }  // namespace mintrock::platform
 
--- a/src/platform/core_codec.cpp
+++ b/src/platform/core_codec.cpp
@@ -34,13 +34,13 @@
 
 std::optional<std::string_view> LineCutter::next() {
   if (too_long_) return std::nullopt;
-  if (at_ > 0 && (at_ == buffer_.size() || at_ >= kMostMessage)) {
+  if (at_ > 0 && (at_ == buffer_.size() || at_ >= kMaxMessageSize)) {
     buffer_.erase(0, at_);
     at_ = 0;
   }
   const std::size_t end = buffer_.find('\n', at_);
   const std::size_t size = (end == std::string::npos ? buffer_.size() : end) - at_;
-  if (size >= kMostMessage) {
+  if (size >= kMaxMessageSize) {
     too_long_ = true;
     buffer_.clear();
     buffer_.shrink_to_fit();
@@ -63,7 +63,7 @@
     if (colon == std::string_view::npos) continue;
     const auto value = instance::read_finite(item.substr(colon + 1));
     if (!value || *value < 0) continue;  // below 0 is how 'not known' is written
-    instance::put_figure(report, instance::field_named(item.substr(0, colon)), *value);
+    instance::set_field(report, instance::parse_field(item.substr(0, colon)), *value);
   }
   return report;
 }
--- a/src/platform/log_names.cpp
+++ b/src/platform/log_names.cpp
@@ -8,9 +8,9 @@
       return "silent";
     case CloseReason::kIdle:
       return "idle";
-    case CloseReason::kForRoom:
+    case CloseReason::kEvicted:
       return "for room";
-    case CloseReason::kUnusable:
+    case CloseReason::kInvalidMessages:
       return "unusable messages";
     case CloseReason::kShutdown:
       return "shutdown";
--- a/src/platform/platform_edge.cpp
+++ b/src/platform/platform_edge.cpp
@@ -11,7 +11,7 @@
 #include <utility>
 
 #include "edge/logging.hpp"
-#include "instance/hearsay.hpp"
+#include "instance/gossip.hpp"
 #include "platform/log_names.hpp"
 
 namespace mintrock::platform {
@@ -44,7 +44,7 @@
 
 std::uint32_t most_calls(const Config& config) {
   return static_cast<std::uint32_t>(
-      std::min<std::size_t>(config.most_open, config.memory_mb * kCallsForMegabyte));
+      std::min<std::size_t>(config.max_open_calls, config.memory_mb * kCallsForMegabyte));
 }
 
 // A server's name in messages between proxies, whose own numbers for it differ: 48 bits of a hash.
@@ -71,7 +71,7 @@
       budget_(config_.sockets),
       desk_(config_.instance.settings, config_.seed, most_calls(config_), *this),
       callers_(*this),
-      order_(config_.offset) {}
+      order_(config_.list_offset) {}
 
 PlatformEdge::~PlatformEdge() {
   loop_.timers().cancel(timer_);
@@ -82,8 +82,8 @@
 
 void PlatformEdge::start() {
   desk_.start(loop_.now());
-  for (const TopologyEvent& event : config_.known) take_news(event);
-  config_.known.clear();
+  for (const TopologyEvent& event : config_.known_servers) take_news(event);
+  config_.known_servers.clear();
   open_bus();
   if (config_.has_peers && config_.instance.settings.tells_peers) {
     datagrams_ = std::make_unique<net::Datagrams>(
@@ -153,7 +153,7 @@
 
 void PlatformEdge::cut(CallId id) {
   const auto found = calls_.find(id);
-  if (found != calls_.end()) callers_.end(found->second.id, found->second.end_cause, loop_.now());
+  if (found != calls_.end()) callers_.report_end(found->second.id, found->second.end_cause, loop_.now());
 }
 
 edge::Handover PlatformEdge::send_setup(CallId id, std::uint32_t attempt, ServerId server,
@@ -197,7 +197,7 @@
     if (core == cores_.end()) continue;
     common.push_back({common_number(core->second.identity), each.wait_s, each.age_s});
   }
-  if (!common.empty()) datagrams_->send(instance::pack_hearsay(common), config_.peers[peer]);
+  if (!common.empty()) datagrams_->send(instance::pack_gossip(common), config_.peers[peer]);
 }
 
 void PlatformEdge::log(const std::string& text) { log_event(info, "decision", {{"detail", text}}); }
@@ -206,8 +206,8 @@
 
 void PlatformEdge::on_accept(int fd, net::Address from) {
   if (caller_streams_.size() + loop_.closing() >= budget_.callers) {
-    const ConnectionId spare = callers_.spare_connection();
-    if (spare != 0) callers_.close_for_room(spare);
+    const ConnectionId spare = callers_.eviction_candidate();
+    if (spare != 0) callers_.evict(spare);
   }
   const auto stream = net::Stream::adopt(loop_, fd, from, kMostUnsent);
   if (caller_streams_.size() + loop_.closing() >= budget_.callers) return stream->close();
@@ -252,14 +252,14 @@
 }
 
 const char* PlatformEdge::offer(CallSetup setup) {
-  const auto place = std::find(config_.classes.begin(), config_.classes.end(), setup.service_class);
-  if (place == config_.classes.end()) return "unknown class";
+  const auto place = std::find(config_.class_names.begin(), config_.class_names.end(), setup.service_class);
+  if (place == config_.class_names.end()) return "unknown class";
   if (ids_.count(setup.id) != 0 || taken_over_.count(setup.id) != 0) return "the id of a call that stands";
   // As large as it can get on its way to a core server, which closes over what is larger.
   constexpr std::uint32_t kLongest = 4294967295u;
-  if (setup.description.size() > kMostMessage / 16 &&
+  if (setup.description.size() > kMaxMessageSize / 16 &&
       write_core_setup(setup.id, setup.service_class, setup.number, kLongest, setup.description).size() >
-          kMostMessage) {
+          kMaxMessageSize) {
     return "too large to be passed on";
   }
   const CallId id = desk_.next_call();
@@ -270,9 +270,9 @@
   call.number = std::move(setup.number);
   call.description = std::move(setup.description);
   edge::Offer out;
-  out.call_class = static_cast<std::uint32_t>(place - config_.classes.begin());
+  out.call_class = static_cast<std::uint32_t>(place - config_.class_names.begin());
   out.key = setup.key;
-  out.ttl_s = setup.left_s;
+  out.ttl_s = setup.time_left_s;
   out.lines = setup.width;
   out.first_choice = setup.first_choice;
   out.redialled = setup.redialled;
@@ -284,19 +284,19 @@
 const char* PlatformEdge::take_over(const CallSetup& setup) {
   if (ids_.count(setup.id) != 0 || taken_over_.count(setup.id) != 0) return nullptr;  // held already
   if (recent_.count(setup.id) != 0) {  // its end was told before its caller named it, maybe to nobody
-    callers_.end(setup.id, kCauseTemporaryFailure, loop_.now());
+    callers_.report_end(setup.id, kCauseTemporaryFailure, loop_.now());
     return nullptr;
   }
   if (taken_over_.size() >= kMostTakenOver || unlisted_.size() >= kMostUnlisted) {
     return "too many calls stand already";
   }
-  const ServerId server = book_.number(setup.stands_at);
+  const ServerId server = book_.id_of(setup.established_server);
   CoreLinks* const at = links(server);
   taken_over_[setup.id] = at == nullptr ? 0 : server;
   if (at != nullptr) {
     at->take_over(setup.id);
   } else {
-    unlisted_.push_back({loop_.now() + kUnlisted, setup.id, setup.stands_at});
+    unlisted_.push_back({loop_.now() + kUnlisted, setup.id, setup.established_server});
   }
   return nullptr;
 }
@@ -310,7 +310,7 @@
   std::vector<std::uint64_t> over;
   for (auto it = unlisted_.begin(); it != unlisted_.end();) {
     const auto taken = taken_over_.find(it->id);
-    const ServerId server = book_.number(it->identity);
+    const ServerId server = book_.id_of(it->identity);
     CoreLinks* const at = links(server);
     const bool open = taken != taken_over_.end() && taken->second == 0;
     if (open && at != nullptr) {
@@ -327,7 +327,7 @@
   for (const std::uint64_t id : over) {
     taken_over_.erase(id);
     remember(id);
-    callers_.end(id, kCauseTemporaryFailure, now);
+    callers_.report_end(id, kCauseTemporaryFailure, now);
   }
 }
 
@@ -353,7 +353,7 @@
              {"standing", std::to_string(standing)}});
 }
 
-void PlatformEdge::end_told(std::uint64_t id, ConnectionId to) {
+void PlatformEdge::end_reported(std::uint64_t id, ConnectionId to) {
   log_event(info, "end_told", {{"call", hex_id(id)}, {"connection", to == 0 ? "" : std::to_string(to)}});
 }
 
@@ -463,7 +463,7 @@
   }
   // Known here, or of this proxy's former life: its caller is told.
   remember(id);
-  callers_.end(id, cause, now);
+  callers_.report_end(id, cause, now);
 }
 
 void PlatformEdge::core_load(ServerId server, const Report& report) {
@@ -526,38 +526,38 @@
 }
 
 void PlatformEdge::on_event(const list::SseEvent& event) {
-  using Verdict = list::EventOrder::Verdict;
-  Verdict verdict = Verdict::kSkip;
+  using Decision = list::EventOrder::Decision;
+  Decision decision = Decision::kSkip;
   std::string fault = "one before it is missing";
   try {
-    const TopologyEvent news = parse_topology_event(event.data, config_.kinds);
-    verdict = order_.judge(news.offset, news.news.full);
-    if (verdict == Verdict::kTake) take_news(news);
+    const TopologyEvent news = parse_topology_event(event.data, config_.kind_names);
+    decision = order_.classify(news.offset, news.news.full);
+    if (decision == Decision::kApply) take_news(news);
   } catch (const std::exception& error) {
-    verdict = order_.unreadable();
+    decision = order_.on_unreadable();
     fault = error.what();
   }
-  if (verdict == Verdict::kAskAgain) {
+  if (decision == Decision::kResubscribe) {
     log_event(warn, "event_bad", {{"id", event.id}, {"detail", fault}});
     loop_.defer([this] {  // not within the watch's own call
-      order_.begun_again();
-      bus_->again_after(std::to_string(order_.last()));
+      order_.on_resubscribed();
+      bus_->resubscribe_after(std::to_string(order_.last()));
     });
   }
   watch();
 }
 
 void PlatformEdge::take_news(const TopologyEvent& event) {
-  for (const std::string& fault : event.news.faults) log_event(warn, "host_malformed", {{"detail", fault}});
+  for (const std::string& fault : event.news.errors) log_event(warn, "host_malformed", {{"detail", fault}});
   const double now = loop_.now();
   const double wall = net::wall_now();
-  const ServerList moved = book_.retire_moved(event.news);
-  if (!book_.take(event.news)) return;
+  const ServerList moved = book_.retire_moved_servers(event.news);
+  if (!book_.apply(event.news)) return;
   if (!moved.entries.empty()) desk_.list(moved, now);
   // Told to the Controller first: what is drained must be known before anything that waits is looked at
   // again.
-  desk_.list(book_.event(event.news, event.news.full ? ServerList::Mode::kFull : ServerList::Mode::kDelta,
-                         now, wall),
+  desk_.list(book_.to_server_list(
+                 event.news, event.news.full ? ServerList::Mode::kFull : ServerList::Mode::kDelta, now, wall),
              now);
   std::size_t alive = 0;
   for (const auto& [id, entry] : book_.entries()) alive += entry.state != ServerEntry::State::kGone;
@@ -574,15 +574,15 @@
         continue;
       }
       core.links = std::make_unique<CoreLinks>(
-          id, CoreLinks::Settings{config_.connect_s, budget_.for_server(alive), config_.seed + id}, *this,
-          core_counts_);
+          id, CoreLinks::Settings{config_.connect_timeout_s, budget_.for_server(alive), config_.seed + id},
+          *this, core_counts_);
     }
     core.state = entry.state;
     core.links->set_state(entry.state, now);
   }
   // An address is the one's that was told to serve there last.
   for (const list::Entry& entry : event.news.entries) {
-    const auto told = cores_.find(book_.number(entry.identity));
+    const auto told = cores_.find(book_.id_of(entry.identity));
     if (told == cores_.end() || entry.state != ServerEntry::State::kReady) continue;
     for (auto& [other, old] : cores_) {
       if (other != told->first && old.address == told->second.address) old.links->moved_away(now);
@@ -611,7 +611,7 @@
 void PlatformEdge::tell_state() {
   constexpr double kEvery = 10.0;  // s
   const edge::DeskCounts& d = desk_.counts();
-  const CallerCounts& c = callers_.counts();
+  const CallerCounters& c = callers_.counters();
   const auto text = [](std::uint64_t value) { return std::to_string(value); };
   log_event(info, "state",
             {{"offered", text(d.offered)},
@@ -629,10 +629,10 @@
              {"taken_over", text(taken_over_.size())},
              {"callers", text(callers_.connections())},
              {"caller_faults", text(c.faults)},
-             {"closed_for_room", text(c.closed_for_room)},
-             {"ends_kept", text(c.ends_kept)},
+             {"closed_for_room", text(c.evicted)},
+             {"ends_kept", text(c.ends_queued)},
              {"ends_dropped", text(c.ends_dropped)},
-             {"ends_repeated", text(c.ends_repeated)},
+             {"ends_repeated", text(c.ends_resent)},
              {"core_lost", text(core_counts_.lost)},
              {"core_refused", text(core_counts_.refused)},
              {"core_not_up", text(core_counts_.not_up)},
@@ -656,7 +656,7 @@
 void PlatformEdge::on_datagram(std::string_view bytes, net::Address from) {
   if (std::find(config_.peers.begin(), config_.peers.end(), from) == config_.peers.end()) return;
   PeerNews news;
-  for (const Hearsay& each : instance::unpack_hearsay(bytes)) {
+  for (const Hearsay& each : instance::unpack_gossip(bytes)) {
     for (const auto& [id, core] : cores_) {
       if (common_number(core.identity) == each.server) news.hearsay.push_back({id, each.wait_s, each.age_s});
     }
@@ -678,7 +678,7 @@
     std::ifstream in(config_file_);
     std::ostringstream text;
     text << in.rdbuf();
-    bus = parse_bus(text.str());
+    bus = parse_bus_address(text.str());
   } catch (const std::exception& error) {
     log_event(warn, "reload_failed", {{"detail", error.what()}});
     if (tries > 1) loop_.after(kAgain, [this, tries] { read_reload(tries - 1); });
@@ -711,7 +711,7 @@
     leaving_ = true;
     listener_->accept_pending();
     listener_.reset();
-    callers_.leave();
+    callers_.begin_shutdown();
     callers_.tick(now);
   }
   if (now >= drain_until_) {
@@ -722,7 +722,7 @@
   for (const auto& [id, core] : cores_) owed += core.links->owed() + core.links->releases_in_doubt(now);
   const bool callers_gone = leaving_ && callers_.connections() == 0 && loop_.closing() == 0;
   // An end that comes now can be told by the next process alone: nothing owed is worth its delay.
-  const bool done = callers_gone && (owed == 0 || callers_.ends_waiting() > 0);
+  const bool done = callers_gone && (owed == 0 || callers_.pending_ends() > 0);
   constexpr double kLastBytes = 0.2;  // s for what was written last
   if (done || now >= drain_until_ + kLastBytes) {
     loop_.timers().cancel(state_timer_);
--- a/src/platform/platform_edge.hpp
+++ b/src/platform/platform_edge.hpp
@@ -13,7 +13,7 @@
 #include "edge/call_desk.hpp"
 #include "list/client.hpp"
 #include "list/event_order.hpp"
-#include "list/pool_list.hpp"
+#include "list/server_list.hpp"
 #include "net/loop.hpp"
 #include "platform/caller_side.hpp"
 #include "platform/config.hpp"
@@ -29,7 +29,7 @@
   std::size_t for_server(std::size_t servers) const;
 };
 
-class PlatformEdge : public edge::DeskPorts, public CallerPorts, public CorePorts {
+class PlatformEdge : public edge::DeskPorts, public CallerSideDelegate, public CorePorts {
  public:
   PlatformEdge(net::Loop& loop, Config config, std::string config_file);
   ~PlatformEdge() override;
@@ -77,7 +77,7 @@
   void tell_peer(std::uint32_t peer, const std::vector<Hearsay>& hearsay) override;
   void log(const std::string& text) override;
 
-  // ---- CallerPorts ----
+  // ---- CallerSideDelegate ----
   void send_to_caller(ConnectionId to, std::string_view bytes) override;
   void close_caller(ConnectionId which) override;
   bool has_unread(ConnectionId which) override;
@@ -86,7 +86,7 @@
   bool hang_up(std::uint64_t id) override;
   void caller_fault(ConnectionId from, const char* what) override;
   void caller_closed(ConnectionId which, CloseReason reason, std::size_t standing) override;
-  void end_told(std::uint64_t id, ConnectionId to) override;
+  void end_reported(std::uint64_t id, ConnectionId to) override;
 
   // ---- CorePorts ----
   ConnectionId connect_core(ServerId server) override;
@@ -127,7 +127,7 @@
   DescriptorBudget budget_;
   edge::CallDesk desk_;
   CallerSide callers_;
-  list::Book book_;
+  list::ServerTable book_;
   list::EventOrder order_;
   std::map<ServerId, Core> cores_;
   CoreCounts core_counts_;
--- a/src/platform/topology.cpp
+++ b/src/platform/topology.cpp
@@ -62,7 +62,7 @@
     try {
       out.news.entries.push_back(parse_host((*hosts)[i], kinds));
     } catch (const std::exception& error) {
-      out.news.faults.push_back("host " + std::to_string(i) + ": " + error.what());
+      out.news.errors.push_back("host " + std::to_string(i) + ": " + error.what());
     }
   }
   return out;
--- a/src/platform/topology.hpp
+++ b/src/platform/topology.hpp
@@ -9,13 +9,13 @@
 #include <string>
 #include <vector>
 
-#include "list/pool_list.hpp"
+#include "list/server_list.hpp"
 
 namespace mintrock::platform {
 
 struct TopologyEvent {
   std::uint64_t offset = 0;  // its number; news.revision is the same
-  list::News news;
+  list::Update news;
 };
 
 // `kinds`: names of the machine kinds, in order.
--- a/tests/bench/wire_test.cpp
+++ b/tests/bench/wire_test.cpp
@@ -146,7 +146,7 @@
   EXPECT_EQ(s.repeat_after_s, 0.25);
   EXPECT_EQ(s.attempt_limit, 3u);
   EXPECT_TRUE(s.can_cancel);
-  EXPECT_EQ(parsed.fields,
+  EXPECT_EQ(parsed.report_fields,
             (std::vector<Field>{Field::kSpare, Field::kTotal, Field::kWaitMs, Field::kUnknown}));
 }
 
@@ -159,7 +159,7 @@
   EXPECT_TRUE(parsed.settings.tells_peers);
   EXPECT_TRUE(parsed.settings.marks_redials);
   EXPECT_EQ(parsed.settings.classes.at(0).deadline_s, 9.0);
-  const Report report = make_report(parsed.fields, {12, 100, 0.5F, 7});
+  const Report report = make_report(parsed.report_fields, {12, 100, 0.5F, 7});
   EXPECT_EQ(report.spare, 12.0);
   EXPECT_EQ(report.total, 100.0);
   EXPECT_EQ(report.queue, 7.0);
@@ -168,27 +168,27 @@
 
 TEST(Wire, HearsayGoesThereAndBack) {
   const std::string bytes =
-      pack_hearsay({{0x0a124a07138b, 0.25, 1.5}, {7, 1e9, std::numeric_limits<double>::quiet_NaN()}});
+      pack_gossip({{0x0a124a07138b, 0.25, 1.5}, {7, 1e9, std::numeric_limits<double>::quiet_NaN()}});
   ASSERT_EQ(bytes.size(), 22u);
-  const std::vector<Hearsay> back = unpack_hearsay(bytes);
+  const std::vector<Hearsay> back = unpack_gossip(bytes);
   ASSERT_EQ(back.size(), 2u);
   EXPECT_EQ(back[0].server, 0x0a124a07138bu);
   EXPECT_DOUBLE_EQ(back[0].wait_s, 0.25);
   EXPECT_DOUBLE_EQ(back[0].age_s, 1.5);
   EXPECT_DOUBLE_EQ(back[1].wait_s, 65.535) << "capped";
-  EXPECT_LE(pack_hearsay(std::vector<Hearsay>(1000)).size(), 256u);
+  EXPECT_LE(pack_gossip(std::vector<Hearsay>(1000)).size(), 256u);
 }
 
 TEST(Wire, HearsayOfAnotherVersionOrLengthSaysNothing) {
-  const std::string good = pack_hearsay({{7, 0.25, 1.5}});
-  for (std::size_t n = 0; n < good.size(); ++n) EXPECT_TRUE(unpack_hearsay(good.substr(0, n)).empty()) << n;
-  EXPECT_TRUE(unpack_hearsay(good + "x").empty());
+  const std::string good = pack_gossip({{7, 0.25, 1.5}});
+  for (std::size_t n = 0; n < good.size(); ++n) EXPECT_TRUE(unpack_gossip(good.substr(0, n)).empty()) << n;
+  EXPECT_TRUE(unpack_gossip(good + "x").empty());
   std::string other = good;
   other[0] = 99;
-  EXPECT_TRUE(unpack_hearsay(other).empty());
+  EXPECT_TRUE(unpack_gossip(other).empty());
   std::string many = good;
   many[1] = static_cast<char>(200);
-  EXPECT_TRUE(unpack_hearsay(many).empty());
+  EXPECT_TRUE(unpack_gossip(many).empty());
 }
 
 TEST(Wire, MissingSettingsKeepTheirDefaults) {
--- a/tests/edge/edge_test.cpp
+++ b/tests/edge/edge_test.cpp
@@ -201,11 +201,11 @@
   }
 
   std::string news(std::uint64_t revision, bool full, ServerEntry::State s) {
-    list::News n;
+    list::Update n;
     n.revision = revision;
     n.full = full;
     n.entries = {{core.host, core_at.str(), 0, 0, 1, s, 0}};
-    return list::print_news(n);
+    return list::print_update(n);
   }
   void publish(std::uint64_t revision, ServerEntry::State s) {
     for (auto& each : watchers) each->write("data: " + news(revision, false, s) + "\n\n");
--- a/tests/fleet/hearsay_test.cpp
+++ b/tests/fleet/gossip_test.cpp
@@ -1,4 +1,4 @@
-#include "fleet/hearsay.hpp"
+#include "fleet/gossip.hpp"
 
 #include <gtest/gtest.h>
 
@@ -49,7 +49,7 @@
   for (ServerId i = 100; i < 1000; ++i) many.push_back({i, std::numeric_limits<double>::infinity(), -5});
   const std::string bytes =
       writer.pack(many, [](ServerId id) { return std::string(100, 'x') + std::to_string(id); });
-  EXPECT_LE(bytes.size(), kMostBytes);
+  EXPECT_LE(bytes.size(), kMaxDatagramBytes);
   Reader reader(0, 2);
   std::string why;
   const auto news = reader.read(
--- a/tests/lab/checker_test.cpp
+++ b/tests/lab/checker_test.cpp
@@ -9,7 +9,7 @@
 #include "diameter/dictionary.hpp"
 #include "edge/credit_control.hpp"
 #include "lab/trace.hpp"
-#include "list/pool_list.hpp"
+#include "list/server_list.hpp"
 
 namespace mintrock::lab {
 namespace {
@@ -75,11 +75,11 @@
     add(time, v1::Record::NOTE, who, "", false).set_text(text.dump());
   }
   void list(double time, int number, ServerEntry::State state) {
-    list::News news;
+    list::Update news;
     news.revision = static_cast<std::uint64_t>(time * 1000);
     news.full = false;
     news.entries = {{core_name(static_cast<std::uint32_t>(number)), "127.0.0.1:1", 0, 0, 1, state}};
-    add(time, v1::Record::LIST, "list", "edge-0.lab.test", true).set_text(list::print_news(news));
+    add(time, v1::Record::LIST, "list", "edge-0.lab.test", true).set_text(list::print_update(news));
   }
   // A call that stands at core 0 and is ended.
   void good_call(const std::string& session, double at) {
--- a/tests/list/event_order_test.cpp
+++ b/tests/list/event_order_test.cpp
@@ -5,13 +5,13 @@
 namespace mintrock::list {
 namespace {
 
-using Verdict = EventOrder::Verdict;
+using Decision = EventOrder::Decision;
 
 TEST(EventOrder, EventsAreTakenInTurnAndOnce) {
   EventOrder order(1);
-  EXPECT_EQ(order.judge(2, false), Verdict::kTake);
-  EXPECT_EQ(order.judge(2, false), Verdict::kSkip);
-  EXPECT_EQ(order.judge(9, true), Verdict::kTake) << "a whole list needs nothing before it";
+  EXPECT_EQ(order.classify(2, false), Decision::kApply);
+  EXPECT_EQ(order.classify(2, false), Decision::kSkip);
+  EXPECT_EQ(order.classify(9, true), Decision::kApply) << "a whole list needs nothing before it";
   EXPECT_EQ(order.last(), 9u);
 }
 
@@ -22,18 +22,18 @@
     EventOrder order(1);
     for (int asked = 0; asked < 3; ++asked) {
       if (unreadable) {
-        EXPECT_EQ(order.unreadable(), Verdict::kAskAgain);
+        EXPECT_EQ(order.on_unreadable(), Decision::kResubscribe);
       }
-      EXPECT_EQ(order.judge(3, false), unreadable ? Verdict::kSkip : Verdict::kAskAgain);
-      EXPECT_EQ(order.judge(4, true), Verdict::kSkip) << "of the old watch";
+      EXPECT_EQ(order.classify(3, false), unreadable ? Decision::kSkip : Decision::kResubscribe);
+      EXPECT_EQ(order.classify(4, true), Decision::kSkip) << "of the old watch";
       EXPECT_EQ(order.last(), 1u);
-      order.begun_again();
+      order.on_resubscribed();
     }
     if (unreadable) {
-      EXPECT_EQ(order.unreadable(), Verdict::kSkip);
+      EXPECT_EQ(order.on_unreadable(), Decision::kSkip);
     }
-    EXPECT_EQ(order.judge(3, false), Verdict::kTake);
-    EXPECT_EQ(order.judge(5, false), Verdict::kAskAgain) << "the next one is asked for anew";
+    EXPECT_EQ(order.classify(3, false), Decision::kApply);
+    EXPECT_EQ(order.classify(5, false), Decision::kResubscribe) << "the next one is asked for anew";
   }
 }
 
--- a/tests/list/list_test.cpp
+++ b/tests/list/list_test.cpp
@@ -5,7 +5,7 @@
 #include <stdexcept>
 
 #include "list/client.hpp"
-#include "list/pool_list.hpp"
+#include "list/server_list.hpp"
 #include "list/sse.hpp"
 
 namespace mintrock::list {
@@ -41,7 +41,7 @@
 }
 
 TEST(PoolList, BrokenEntriesAreNamedAndTheRestStands) {
-  const News news = parse_news(
+  const Update update = parse_update(
       R"({"revision":3,"mode":"full","entries":[
         {"identity":"a","address":"127.0.0.1:1","state":"ready","node":2},
         {"identity":"b","address":"127.0.0.1:1","state":"sleepy"},
@@ -50,10 +50,10 @@
         {"identity":"a","address":"127.0.0.1:1","state":"ready"},
         {"identity":"d","address":"127.0.0.1:1","state":"ready","weight":-1},
         {"identity":"e","state":"gone"}]})");
-  ASSERT_EQ(news.entries.size(), 2u);
-  EXPECT_EQ(news.entries[0].node, 2u);
-  EXPECT_EQ(news.faults.size(), 5u);
-  EXPECT_EQ(news.faults[0], "entry 1: state 'sleepy' is none of ready, draining, gone");
+  ASSERT_EQ(update.entries.size(), 2u);
+  EXPECT_EQ(update.entries[0].node, 2u);
+  EXPECT_EQ(update.errors.size(), 5u);
+  EXPECT_EQ(update.errors[0], "entry 1: state 'sleepy' is none of ready, draining, gone");
 }
 
 TEST(PoolList, TextThatIsNoListThrows) {
@@ -61,46 +61,46 @@
        {"", "x", "[]", "{}", R"({"revision":1})", R"({"revision":1,"mode":"half","entries":[]})",
         R"({"revision":-1,"mode":"full","entries":[]})", R"({"revision":1,"mode":"full"})",
         R"({"revision":1,"mode":3,"entries":[]})"}) {
-    EXPECT_THROW(parse_news(bad), std::runtime_error) << bad;
+    EXPECT_THROW(parse_update(bad), std::runtime_error) << bad;
   }
 }
 
-TEST(Book, KeepsNumbersAndIgnoresOldNews) {
-  Book book;
-  News news;
-  news.revision = 5;
-  news.entries = {{"a", "127.0.0.1:1"}, {"b", "127.0.0.1:2"}};
-  EXPECT_TRUE(book.take(news));
-  const ServerId a = book.number("a");
+TEST(ServerTable, KeepsNumbersAndIgnoresOldNews) {
+  ServerTable table;
+  Update update;
+  update.revision = 5;
+  update.entries = {{"a", "127.0.0.1:1"}, {"b", "127.0.0.1:2"}};
+  EXPECT_TRUE(table.apply(update));
+  const ServerId a = table.id_of("a");
   EXPECT_NE(a, 0u);
-  News drained;
+  Update drained;
   drained.revision = 6;
   drained.full = false;
   drained.entries = {{"a", "", 0, 0, 1, ServerEntry::State::kDraining}};
-  EXPECT_TRUE(book.take(drained));
-  EXPECT_EQ(book.find(a)->state, ServerEntry::State::kDraining);
-  EXPECT_EQ(book.find(a)->address, "127.0.0.1:1") << "an address that is not told again stands";
-  EXPECT_FALSE(book.take(news)) << "older than what is known";
-  EXPECT_EQ(book.find(a)->state, ServerEntry::State::kDraining);
-  News full;
+  EXPECT_TRUE(table.apply(drained));
+  EXPECT_EQ(table.find(a)->state, ServerEntry::State::kDraining);
+  EXPECT_EQ(table.find(a)->address, "127.0.0.1:1") << "an address that is not told again stands";
+  EXPECT_FALSE(table.apply(update)) << "older than what is known";
+  EXPECT_EQ(table.find(a)->state, ServerEntry::State::kDraining);
+  Update full;
   full.revision = 7;
   full.entries = {{"b", "127.0.0.1:2"}};
-  EXPECT_TRUE(book.take(full));
-  EXPECT_EQ(book.find(a)->state, ServerEntry::State::kGone) << "not in a whole list: gone";
-  EXPECT_EQ(book.number("a"), a);
-  EXPECT_EQ(parse_news(print_news(book.snapshot())).entries.size(), 1u);
+  EXPECT_TRUE(table.apply(full));
+  EXPECT_EQ(table.find(a)->state, ServerEntry::State::kGone) << "not in a whole list: gone";
+  EXPECT_EQ(table.id_of("a"), a);
+  EXPECT_EQ(parse_update(print_update(table.snapshot())).entries.size(), 1u);
 }
 
 // The list tells starts by the wall clock; decisions run on a clock that only goes forward.
-TEST(Book, StartsAreTurnedIntoTheMonotonicClock) {
-  Book book;
-  News news;
-  news.revision = 1;
-  news.entries = {{"a", "x"}, {"b", "x"}, {"c", "x"}};
-  news.entries[1].started_at = 1000;
-  news.entries[2].started_at = 5000;
-  book.take(news);
-  const ServerList list = book.event(news, ServerList::Mode::kFull, 200, 1030);
+TEST(ServerTable, StartsAreTurnedIntoTheMonotonicClock) {
+  ServerTable table;
+  Update update;
+  update.revision = 1;
+  update.entries = {{"a", "x"}, {"b", "x"}, {"c", "x"}};
+  update.entries[1].started_at = 1000;
+  update.entries[2].started_at = 5000;
+  table.apply(update);
+  const ServerList list = table.to_server_list(update, ServerList::Mode::kFull, 200, 1030);
   EXPECT_EQ(list.entries[0].since, 0) << "long ago";
   EXPECT_EQ(list.entries[1].since, 170);
   EXPECT_EQ(list.entries[2].since, 200) << "no start in the future";
--- a/tests/platform/caller_codec_test.cpp
+++ b/tests/platform/caller_codec_test.cpp
@@ -13,9 +13,9 @@
 
 std::string setup_bytes(std::uint64_t id, const Parameters& more = {}) {
   Parameters parameters{{Parameter::kClass, "voice"},
-                        {Parameter::kLeft, "1500"},
-                        {Parameter::kNumber, "7f3a9c21e0b4d655"},
-                        {Parameter::kFigures, "dest:2;width:1;via:-1"},
+                        {Parameter::kTimeLeft, "1500"},
+                        {Parameter::kCalledNumber, "7f3a9c21e0b4d655"},
+                        {Parameter::kAttributes, "dest:2;width:1;via:-1"},
                         {Parameter::kDescription, "m=audio\r\n"}};
   for (const auto& [code, value] : more) {
     bool replaced = false;
@@ -26,11 +26,11 @@
     }
     if (!replaced) parameters.emplace_back(code, value);
   }
-  return write_message(CallerType::kSetup, id, parameters);
+  return write_message(CallerMessageType::kSetup, id, parameters);
 }
 
 std::optional<CallSetup> read(const std::string& bytes, std::string& why) {
-  MessageCutter cutter;
+  MessageParser cutter;
   cutter.feed(bytes);
   const auto message = cutter.next();
   const char* fault = cutter.fault();
@@ -41,9 +41,9 @@
 }
 
 TEST(CallerCodec, ReadsASetupInPiecesOfAnySize) {
-  const std::string bytes = setup_bytes(0x9b1f03aa5c7e2d41, {{Parameter::kRetry, "1"}});
+  const std::string bytes = setup_bytes(0x9b1f03aa5c7e2d41, {{Parameter::kRedial, "1"}});
   for (std::size_t piece = 1; piece <= bytes.size(); ++piece) {
-    MessageCutter cutter;
+    MessageParser cutter;
     std::optional<CallSetup> setup;
     for (std::size_t at = 0; at < bytes.size(); at += piece) {
       EXPECT_FALSE(setup);
@@ -56,7 +56,7 @@
     ASSERT_TRUE(setup) << piece;
     EXPECT_EQ(setup->id, 0x9b1f03aa5c7e2d41u);
     EXPECT_EQ(setup->service_class, "voice");
-    EXPECT_DOUBLE_EQ(setup->left_s, 1.5);
+    EXPECT_DOUBLE_EQ(setup->time_left_s, 1.5);
     EXPECT_EQ(setup->number, "7f3a9c21e0b4d655");
     EXPECT_EQ(setup->key, 0x7f3a9c21e0b4d655u);
     EXPECT_EQ(setup->first_choice, 2);
@@ -71,40 +71,41 @@
 
 TEST(CallerCodec, ReadsWhatACutOrStandingCallBrings) {
   std::string why;
-  auto setup = read(setup_bytes(5, {{Parameter::kFigures, "dest:0;width:1;again:1"}}), why);
+  auto setup = read(setup_bytes(5, {{Parameter::kAttributes, "dest:0;width:1;again:1"}}), why);
   ASSERT_TRUE(setup);
   EXPECT_TRUE(setup->was_cut);
-  setup = read(setup_bytes(5, {{Parameter::kFigures, "at:s-00c41f7a"}, {Parameter::kDescription, ""}}), why);
+  setup =
+      read(setup_bytes(5, {{Parameter::kAttributes, "at:s-00c41f7a"}, {Parameter::kDescription, ""}}), why);
   ASSERT_TRUE(setup) << why;
-  EXPECT_EQ(setup->stands_at, "s-00c41f7a");
+  EXPECT_EQ(setup->established_server, "s-00c41f7a");
 }
 
 // What bad clients send: each is named, none is taken.
 TEST(CallerCodec, EveryUnusableSetupHasAName) {
-  const Parameters bad[] = {{{Parameter::kLeft, "soon"}},
-                            {{Parameter::kLeft, "nan"}},
-                            {{Parameter::kLeft, "inf"}},
-                            {{Parameter::kLeft, "-5"}},
-                            {{Parameter::kLeft, "0"}},
-                            {{Parameter::kLeft, "99999999999"}},
-                            {{Parameter::kLeft, ""}},
+  const Parameters bad[] = {{{Parameter::kTimeLeft, "soon"}},
+                            {{Parameter::kTimeLeft, "nan"}},
+                            {{Parameter::kTimeLeft, "inf"}},
+                            {{Parameter::kTimeLeft, "-5"}},
+                            {{Parameter::kTimeLeft, "0"}},
+                            {{Parameter::kTimeLeft, "99999999999"}},
+                            {{Parameter::kTimeLeft, ""}},
                             {{Parameter::kClass, ""}},
-                            {{Parameter::kRetry, "often"}},
-                            {{Parameter::kFigures, "dest:many"}},
-                            {{Parameter::kFigures, "dest:-7"}},
-                            {{Parameter::kFigures, "dest:1.5"}},
-                            {{Parameter::kFigures, "dest:99999999"}},
-                            {{Parameter::kFigures, "width:0"}},
-                            {{Parameter::kFigures, "width:nan"}},
-                            {{Parameter::kFigures, "width:-1"}},
-                            {{Parameter::kFigures, "width:1e9"}},
-                            {{Parameter::kFigures, "again:2"}},
-                            {{Parameter::kFigures, "at:"}},
-                            {{Parameter::kFigures, "nonsense"}},
+                            {{Parameter::kRedial, "often"}},
+                            {{Parameter::kAttributes, "dest:many"}},
+                            {{Parameter::kAttributes, "dest:-7"}},
+                            {{Parameter::kAttributes, "dest:1.5"}},
+                            {{Parameter::kAttributes, "dest:99999999"}},
+                            {{Parameter::kAttributes, "width:0"}},
+                            {{Parameter::kAttributes, "width:nan"}},
+                            {{Parameter::kAttributes, "width:-1"}},
+                            {{Parameter::kAttributes, "width:1e9"}},
+                            {{Parameter::kAttributes, "again:2"}},
+                            {{Parameter::kAttributes, "at:"}},
+                            {{Parameter::kAttributes, "nonsense"}},
                             {{Parameter::kDescription, ""}},
                             {{Parameter::kDescription, "\xff\xfe"}},
                             {{Parameter::kClass, "vo\xc0"}},
-                            {{Parameter::kNumber, std::string(300, '7')}}};
+                            {{Parameter::kCalledNumber, std::string(300, '7')}}};
   for (const Parameters& each : bad) {
     std::string why;
     EXPECT_FALSE(read(setup_bytes(5, each), why)) << each[0].second;
@@ -114,7 +115,8 @@
   EXPECT_FALSE(read(setup_bytes(0), why));
   EXPECT_EQ(why, "no id");
   EXPECT_FALSE(
-      read(write_message(CallerType::kSetup, 5, {{Parameter::kClass, "a"}, {Parameter::kClass, "b"}}), why));
+      read(write_message(CallerMessageType::kSetup, 5, {{Parameter::kClass, "a"}, {Parameter::kClass, "b"}}),
+           why));
   EXPECT_EQ(why, "a parameter comes twice");
 }
 
@@ -128,7 +130,7 @@
       {std::string("\0\14\1\0\0\0\0\0\0\0\5\3\0\7", 14), "a parameter is longer than its message"},
       {std::string("\0\14\1\0\0\0\0\0\0\0\5\3\xff\xff", 14), "a parameter is longer than its message"}};
   for (const auto& [bytes, name] : bad) {
-    MessageCutter cutter;
+    MessageParser cutter;
     cutter.feed(bytes);
     EXPECT_FALSE(cutter.next());
     ASSERT_NE(cutter.fault(), nullptr) << name;
@@ -142,7 +144,7 @@
 TEST(CallerCodec, NoiseNeverMakesItHoldMoreThanAMessage) {
   std::mt19937_64 random(7);
   for (int run = 0; run < 2000; ++run) {
-    MessageCutter cutter;
+    MessageParser cutter;
     std::string bytes = setup_bytes(random());
     for (int i = 0; i < 3; ++i) bytes[random() % bytes.size()] = static_cast<char>(random());
     cutter.feed(bytes + bytes);
@@ -156,7 +158,7 @@
 }
 
 TEST(CallerCodec, WritesWhatItReads) {
-  MessageCutter cutter;
+  MessageParser cutter;
   cutter.feed(write_answer(7, "v=0") + write_release(8, kCauseCongestion, 250) + write_release(9, 41) +
               write_test_passed(10, true) + write_released(11));
   auto message = cutter.next();
@@ -167,11 +169,11 @@
   ASSERT_TRUE(message);
   EXPECT_EQ(message->type, 12);
   EXPECT_EQ(message->call, 8u);
-  EXPECT_EQ(message->find(Parameter::kStayAway), "250");
+  EXPECT_EQ(message->find(Parameter::kRetryAfter), "250");
   EXPECT_EQ(read_cause(*message), 42);
   message = cutter.next();
   ASSERT_TRUE(message);
-  EXPECT_TRUE(message->find(Parameter::kStayAway).empty());
+  EXPECT_TRUE(message->find(Parameter::kRetryAfter).empty());
   EXPECT_EQ(read_cause(*message), 41);
   message = cutter.next();
   ASSERT_TRUE(message);
--- a/tests/platform/caller_side_test.cpp
+++ b/tests/platform/caller_side_test.cpp
@@ -11,9 +11,9 @@
 namespace mintrock::platform {
 namespace {
 
-struct World : CallerPorts {
+struct World : CallerSideDelegate {
   void send_to_caller(ConnectionId to, std::string_view bytes) override {
-    MessageCutter cutter;
+    MessageParser cutter;
     cutter.feed(bytes);
     const auto message = cutter.next();
     ASSERT_TRUE(message);
@@ -28,7 +28,7 @@
     return nullptr;
   }
   const char* take_over(const CallSetup& setup) override {
-    taken.push_back(setup.stands_at);
+    taken.push_back(setup.established_server);
     return nullptr;
   }
   bool hang_up(std::uint64_t id) override {
@@ -37,7 +37,7 @@
   }
   void caller_fault(ConnectionId, const char* what) override { faults.push_back(what); }
   void caller_closed(ConnectionId, CloseReason, std::size_t) override {}
-  void end_told(std::uint64_t, ConnectionId) override {}
+  void end_reported(std::uint64_t, ConnectionId) override {}
 
   void setup(ConnectionId on, std::uint64_t id, double now, const char* service_class = "voice",
              const char* figures = "dest:0", const char* description = "v=0") {
@@ -45,10 +45,10 @@
   }
   static std::string setup_bytes(std::uint64_t id, const char* service_class = "voice",
                                  const char* figures = "dest:0", const char* description = "v=0") {
-    return write_message(CallerType::kSetup, id,
+    return write_message(CallerMessageType::kSetup, id,
                          {{Parameter::kClass, service_class},
-                          {Parameter::kLeft, "1500"},
-                          {Parameter::kFigures, figures},
+                          {Parameter::kTimeLeft, "1500"},
+                          {Parameter::kAttributes, figures},
                           {Parameter::kDescription, description}});
   }
   // A caller connects, and these calls of its stand.
@@ -94,7 +94,7 @@
   ASSERT_EQ(w.sent.size(), 2u);
   EXPECT_EQ(w.sent[1].to, 2u);
   EXPECT_EQ(w.sent[1].cause, 42);
-  EXPECT_EQ(w.side.open(), 0u);
+  EXPECT_EQ(w.side.open_setups(), 0u);
 }
 
 TEST(CallerSide, TheAnswerMayComeBeforeTheOfferReturns) {
@@ -103,7 +103,7 @@
   w.side.opened(1, 0);
   w.setup(1, 7, 0.1);
   ASSERT_EQ(w.sent.size(), 1u);
-  EXPECT_EQ(w.side.open(), 0u);
+  EXPECT_EQ(w.side.open_setups(), 0u);
 }
 
 TEST(CallerSide, AConnectionThatIsLostGivesItsSetupsUp) {
@@ -116,7 +116,7 @@
   w.side.answer(7, "v=0", 0.3);
   EXPECT_TRUE(w.sent.empty());
   EXPECT_EQ(w.side.connections(), 0u);
-  EXPECT_EQ(w.side.open(), 0u);
+  EXPECT_EQ(w.side.open_setups(), 0u);
 }
 
 TEST(CallerSide, ASetupThatIsGivenUpIsOwedNothing) {
@@ -167,7 +167,7 @@
   w.setup(1, 9, 0.1, "none");
   EXPECT_EQ(w.sent.size(), 3u);
   EXPECT_EQ(w.closed.count(1), 1u);
-  EXPECT_EQ(w.side.open(), 0u);
+  EXPECT_EQ(w.side.open_setups(), 0u);
 }
 
 TEST(CallerSide, WhatCantBeReadCloses) {
@@ -215,7 +215,7 @@
   w.standing = {8};
   w.side.tick(1000);
   EXPECT_TRUE(w.closed.empty());
-  w.side.end(7, 16, 1000);
+  w.side.report_end(7, 16, 1000);
   EXPECT_EQ(w.sent.back().to, 1u);
   EXPECT_EQ(w.sent.back().call, 7u);
   w.side.tick(2000);
@@ -225,7 +225,7 @@
   EXPECT_TRUE(w.closed.empty());
   w.side.tick(2006.5);
   EXPECT_EQ(w.closed.count(1), 1u);
-  EXPECT_EQ(w.side.standing(), 0u);
+  EXPECT_EQ(w.side.established(), 0u);
 }
 
 // Named anew after the proxy's restart, or when its caller connects again, a call moves to that connection.
@@ -233,15 +233,15 @@
   World w;
   w.stand(1, {7, 8, 10}, 0.1);
   w.stand(2, {9}, 0.3);
-  w.side.end(7, 16, 0.5);
+  w.side.report_end(7, 16, 0.5);
   EXPECT_EQ(w.sent.back().to, 1u) << "not where one was served last";
   w.setup(2, 10, 0.5, "voice", "at:s-1");
-  w.side.end(10, 16, 0.5);
+  w.side.report_end(10, 16, 0.5);
   EXPECT_EQ(w.sent.back().to, 2u);
   w.side.lost(1, 0.6);
-  w.side.end(8, 16, 0.7);
+  w.side.report_end(8, 16, 0.7);
   EXPECT_EQ(w.sent.back().to, 2u);
-  EXPECT_EQ(w.side.standing(), 1u);
+  EXPECT_EQ(w.side.established(), 1u);
 }
 
 // Soak, seed 3: an end was written to a connection that its caller had just closed, and told nobody.
@@ -249,9 +249,9 @@
   World w;
   w.stand(1, {7, 8, 9}, 0.1);
   w.stand(2, {10}, 0.1);
-  w.side.end(7, 16, 0.2);  // long enough ago
-  w.side.end(8, 16, 1.3);
-  w.side.end(9, 41, 1.4);
+  w.side.report_end(7, 16, 0.2);  // long enough ago
+  w.side.report_end(8, 16, 1.3);
+  w.side.report_end(9, 41, 1.4);
   w.side.received(1, write_released(9), 1.45);  // heard
   w.sent.clear();
   w.side.lost(1, 1.5);
@@ -260,7 +260,7 @@
   EXPECT_EQ(w.sent[0].call, 8u);
   EXPECT_EQ(w.sent[0].cause, 16);
   w.side.lost(2, 1.6);
-  EXPECT_EQ(w.side.kept_ends(), 1u) << "and again, with that one";
+  EXPECT_EQ(w.side.unsent_ends(), 1u) << "and again, with that one";
   w.side.opened(3, 2);
   w.setup(3, 11, 2);
   EXPECT_EQ(w.sent.back().to, 3u);
@@ -273,9 +273,9 @@
   w.stand(1, {}, 0);
   w.stand(2, {}, 0.1);
   w.unread = {1};
-  EXPECT_EQ(w.side.spare_connection(), 2u);
+  EXPECT_EQ(w.side.eviction_candidate(), 2u);
   w.unread = {1, 2};
-  EXPECT_EQ(w.side.spare_connection(), 0u);
+  EXPECT_EQ(w.side.eviction_candidate(), 0u);
   w.unread = {1};
   w.side.tick(2.05);  // it has said nothing for its time
   EXPECT_TRUE(w.closed.empty());
@@ -283,7 +283,7 @@
   w.side.tick(2.3);
   EXPECT_EQ(w.closed, std::set<ConnectionId>{2});
   w.side.answer(7, "v=0", 2.4);
-  w.side.end(7, 16, 2.5);
+  w.side.report_end(7, 16, 2.5);
   w.unread = {1};
   for (double now = 8.5; now < 9; now += 0.01) w.side.tick(now);
   EXPECT_EQ(w.closed.count(1), 1u) << "a trickle need not end";
@@ -292,9 +292,9 @@
 TEST(CallerSide, EndsAreToldWhereCallsWereServedOrKept) {
   World w;
   w.side.opened(1, 0);  // silent: may be anybody
-  w.side.end(50, 16, 0.5);
+  w.side.report_end(50, 16, 0.5);
   EXPECT_TRUE(w.sent.empty());
-  EXPECT_EQ(w.side.kept_ends(), 1u);
+  EXPECT_EQ(w.side.unsent_ends(), 1u);
   w.side.opened(2, 1);
   w.setup(2, 7, 1);
   ASSERT_EQ(w.sent.size(), 1u);
@@ -304,26 +304,26 @@
   w.setup(3, 8, 1);
   w.side.answer(8, "v=0", 1.1);
   w.setup(2, 9, 1.2);
-  w.side.end(51, 41, 1.3);
+  w.side.report_end(51, 41, 1.3);
   EXPECT_EQ(w.sent.back().to, 3u) << "where one was served";
   w.side.lost(3, 1.4);
-  w.side.end(52, 16, 1.5);
+  w.side.report_end(52, 16, 1.5);
   EXPECT_EQ(w.sent.back().to, 2u);
-  EXPECT_EQ(w.side.kept_ends(), 0u);
+  EXPECT_EQ(w.side.unsent_ends(), 0u);
 }
 
 TEST(CallerSide, KeptEndsAreForgottenAfterTheirTime) {
   World w;
-  for (std::uint64_t id = 1; id <= 10000; ++id) w.side.end(id, 16, 0);
-  EXPECT_LE(w.side.kept_ends(), 4096u);
+  for (std::uint64_t id = 1; id <= 10000; ++id) w.side.report_end(id, 16, 0);
+  EXPECT_LE(w.side.unsent_ends(), 4096u);
   w.side.tick(8.1);
-  EXPECT_EQ(w.side.kept_ends(), 0u);
+  EXPECT_EQ(w.side.unsent_ends(), 0u);
 }
 
 TEST(CallerSide, ATestIsPassedAndAReleaseOfAStandingCallHeard) {
   World w;
   w.side.opened(1, 0);
-  w.side.received(1, write_message(CallerType::kTest, 77, {}), 0.1);
+  w.side.received(1, write_message(CallerMessageType::kTest, 77, {}), 0.1);
   ASSERT_EQ(w.sent.size(), 1u);
   EXPECT_EQ(w.sent[0].type, 53);
   EXPECT_EQ(w.sent[0].cause, 1);
@@ -338,25 +338,25 @@
   w.setup(1, 7, 0.1, "voice", "at:s-1");
   EXPECT_EQ(w.taken, std::vector<std::string>{"s-1"});
   EXPECT_TRUE(w.sent.empty());
-  EXPECT_EQ(w.side.open(), 0u);
+  EXPECT_EQ(w.side.open_setups(), 0u);
 }
 
 TEST(CallerSide, RoomIsMadeOfTheSilentFirstThenOfTheIdle) {
   World w;
-  EXPECT_EQ(w.side.spare_connection(), 0u);
+  EXPECT_EQ(w.side.eviction_candidate(), 0u);
   w.side.opened(1, 0);
   w.setup(1, 7, 0.1);
-  EXPECT_EQ(w.side.spare_connection(), 0u) << "it has an open set-up";
+  EXPECT_EQ(w.side.eviction_candidate(), 0u) << "it has an open set-up";
   w.side.opened(2, 0.2);
   w.setup(2, 8, 0.2);
   w.side.answer(8, "v=0", 0.3);
-  EXPECT_EQ(w.side.spare_connection(), 2u);
+  EXPECT_EQ(w.side.eviction_candidate(), 2u);
   w.side.opened(3, 0.4);
   w.side.opened(4, 0.5);
-  EXPECT_EQ(w.side.spare_connection(), 3u);
-  w.side.close_for_room(3);
+  EXPECT_EQ(w.side.eviction_candidate(), 3u);
+  w.side.evict(3);
   EXPECT_EQ(w.closed.count(3), 1u);
-  EXPECT_EQ(w.side.spare_connection(), 4u);
+  EXPECT_EQ(w.side.eviction_candidate(), 4u);
 }
 
 // Every table after many connections and calls is as at the start.
@@ -371,7 +371,7 @@
     w.side.lost(i, now);
   }
   EXPECT_EQ(w.side.connections(), 0u);
-  EXPECT_EQ(w.side.open(), 0u);
+  EXPECT_EQ(w.side.open_setups(), 0u);
   EXPECT_GT(w.side.deadline(), 1e15);
 }
 
@@ -400,7 +400,7 @@
   w.side.opened(1, 0);
   w.side.received(1, World::setup_bytes(8).substr(0, 5), 0.1);
   w.stand(2, {7}, 0.3);
-  EXPECT_EQ(w.side.spare_connection(), 2u) << "though its call stands";
+  EXPECT_EQ(w.side.eviction_candidate(), 2u) << "though its call stands";
 }
 
 // The process ends: whatever is owed comes first.
@@ -413,7 +413,7 @@
   w.side.received(3, std::string("\0\x40\x01", 3), 4.9);  // half arrived
   w.side.opened(4, 4.98);                                 // its set-up may lie unread
   w.side.tick(1);
-  w.side.leave();
+  w.side.begin_shutdown();
   w.side.tick(5);
   EXPECT_EQ(w.closed, std::set<ConnectionId>{1});
   w.side.tick(5.1);
@@ -424,7 +424,7 @@
   EXPECT_EQ(w.closed, (std::set<ConnectionId>{1, 2, 4}));
   w.side.tick(6.95);
   EXPECT_EQ(w.side.connections(), 0u);
-  EXPECT_EQ(w.side.standing(), 0u);
+  EXPECT_EQ(w.side.established(), 0u);
 }
 
 }  // namespace
--- a/tests/platform/config_test.cpp
+++ b/tests/platform/config_test.cpp
@@ -43,8 +43,8 @@
   EXPECT_EQ(config.seed, 0x6444882f5c620abbu);
   EXPECT_EQ(config.sockets, 256u);
   EXPECT_EQ(config.memory_mb, 32u);
-  EXPECT_EQ(config.classes, (std::vector<std::string>{"status", "unlock"}));
-  EXPECT_DOUBLE_EQ(config.connect_s, 0.4);
+  EXPECT_EQ(config.class_names, (std::vector<std::string>{"status", "unlock"}));
+  EXPECT_DOUBLE_EQ(config.connect_timeout_s, 0.4);
   ASSERT_EQ(config.peers.size(), 2u);
   const Settings& s = config.instance.settings;
   ASSERT_EQ(s.classes.size(), 2u);
@@ -72,14 +72,14 @@
   EXPECT_EQ(json_way.classes[0].deadline_s, text_way.settings.classes[0].deadline_s);
   EXPECT_EQ(json_way.start_capacity, text_way.settings.start_capacity);
   EXPECT_EQ(json_way.fleet_size, text_way.settings.fleet_size);
-  EXPECT_EQ(parse_config(kConfig).instance.fields, text_way.fields);
+  EXPECT_EQ(parse_config(kConfig).instance.report_fields, text_way.report_fields);
 }
 
 TEST(PlatformConfig, KnownServersAreReadAndBrokenOnesNamed) {
   const Config config = parse_config(kConfig);
-  EXPECT_EQ(config.offset, 4u);
-  ASSERT_EQ(config.known.size(), 1u);
-  const list::News& news = config.known[0].news;
+  EXPECT_EQ(config.list_offset, 4u);
+  ASSERT_EQ(config.known_servers.size(), 1u);
+  const list::Update& news = config.known_servers[0].news;
   EXPECT_TRUE(news.full);
   ASSERT_EQ(news.entries.size(), 2u);
   EXPECT_EQ(news.entries[0].identity, "s-1");
@@ -87,7 +87,7 @@
   EXPECT_EQ(news.entries[0].node, 1u);
   EXPECT_EQ(news.entries[1].state, ServerEntry::State::kDraining);
   EXPECT_DOUBLE_EQ(news.entries[1].started_at, 1764590000.5);
-  EXPECT_EQ(news.faults.size(), 1u);
+  EXPECT_EQ(news.errors.size(), 1u);
 }
 
 TEST(PlatformConfig, NonsenseIsRefused) {
@@ -101,9 +101,9 @@
   }
   for (const char* text : {"", "{", "[]", "17"}) {
     EXPECT_THROW(parse_config(text), std::runtime_error);
-    EXPECT_THROW(parse_bus(text), std::runtime_error);
+    EXPECT_THROW(parse_bus_address(text), std::runtime_error);
   }
-  EXPECT_EQ(parse_bus(R"({"bus":"127.0.0.1:8501"})").port, 8501);
+  EXPECT_EQ(parse_bus_address(R"({"bus":"127.0.0.1:8501"})").port, 8501);
 }
 
 TEST(Topology, EventsThatAreNoneAreRefused) {
--- a/tests/platform/platform_edge_test.cpp
+++ b/tests/platform/platform_edge_test.cpp
@@ -14,7 +14,7 @@
 #include <optional>
 #include <set>
 
-#include "instance/hearsay.hpp"
+#include "instance/gossip.hpp"
 
 namespace mintrock::platform {
 namespace {
@@ -109,11 +109,11 @@
   static std::string setup_bytes(std::uint64_t id, const char* service_class = "status",
                                  const char* left = "1500", const char* figures = "dest:0;width:1;via:-1",
                                  const char* description = "offer") {
-    return write_message(CallerType::kSetup, id,
+    return write_message(CallerMessageType::kSetup, id,
                          {{Parameter::kClass, service_class},
-                          {Parameter::kLeft, left},
-                          {Parameter::kNumber, "7f3a9c21e0b4d655"},
-                          {Parameter::kFigures, figures},
+                          {Parameter::kTimeLeft, left},
+                          {Parameter::kCalledNumber, "7f3a9c21e0b4d655"},
+                          {Parameter::kAttributes, figures},
                           {Parameter::kDescription, description}});
   }
   struct Got {
@@ -132,7 +132,7 @@
     for (const Got& each : got) out += each.call == call;
     return out;
   }
-  MessageCutter cutter;
+  MessageParser cutter;
   std::vector<Got> got;
   bool closed = false;
   std::size_t asked = 0;  // set-ups, where a test counts them
@@ -405,7 +405,7 @@
   stage.edge->drain();
   caller.setup(8);   // within the time in which new ones may still come
   stage.loop.run();  // ends by itself
-  EXPECT_EQ(stage.edge->callers().open(), 0u);
+  EXPECT_EQ(stage.edge->callers().open_setups(), 0u);
   stage.edge.reset();
   stage.until([&] { return caller.count(9) == 2; });
   EXPECT_EQ(caller.count(9), 2u);
@@ -438,20 +438,20 @@
   caller.setup(7);
   ASSERT_TRUE(stage.until([&] { return caller.count(9) == 1 && !heard.empty(); }));
   EXPECT_LE(heard[0].size(), 256u);
-  std::vector<Hearsay> hearsay = instance::unpack_hearsay(heard[0]);
+  std::vector<Hearsay> hearsay = instance::unpack_gossip(heard[0]);
   ASSERT_EQ(hearsay.size(), 1u);
   hearsay[0].wait_s = 30;  // of that server, just now
   hearsay[0].age_s = 0;
-  stranger->send(instance::pack_hearsay(hearsay), own);
+  stranger->send(instance::pack_gossip(hearsay), own);
   stranger->send("noise", own);
   caller.setup(8);
   ASSERT_TRUE(stage.until([&] { return caller.count(9) == 2; })) << "a stranger is not believed";
   peer->send("noise", own);
   peer->send(std::string(1000, 'x'), own);
-  peer->send(instance::pack_hearsay(hearsay), own);
+  peer->send(instance::pack_gossip(hearsay), own);
   std::uint64_t id = 9;
   EXPECT_TRUE(stage.until([&] {
-    if (stage.edge->callers().open() == 0) caller.setup(id++);
+    if (stage.edge->callers().open_setups() == 0) caller.setup(id++);
     return caller.count(12) > 0;
   }));
 }
@@ -472,9 +472,9 @@
     ASSERT_TRUE(stage.until([&] { return own.count(12) == times; }));
     EXPECT_EQ(own.got.back().call, 0xaau);
   }
-  EXPECT_EQ(stage.edge->callers().standing(), 1u) << "the other caller's";
+  EXPECT_EQ(stage.edge->callers().established(), 1u) << "the other caller's";
   caller.setup(0xbb, "status", "1500", "at:s-1");
-  ASSERT_TRUE(stage.until([&] { return stage.edge->callers().counts().messages == 4; }));
+  ASSERT_TRUE(stage.until([&] { return stage.edge->callers().counters().messages == 4; }));
   EXPECT_EQ(stage.core.count("setup"), 1u) << "no attempt";
   caller.stream->write(write_release(0xbb, 16));
   EXPECT_TRUE(stage.until([&] { return stage.core.count("release") == 1; }));
@@ -511,8 +511,9 @@
     const std::uint64_t id = ++calls;
     ASSERT_LT(id, 20000u);
     caller.setup(id);
-    ASSERT_TRUE(stage.until(
-        [&] { return stage.edge->callers().open() == 0 && stage.edge->desk().counts().offered == id; }));
+    ASSERT_TRUE(stage.until([&] {
+      return stage.edge->callers().open_setups() == 0 && stage.edge->desk().counts().offered == id;
+    }));
     if (id % 10 != 0 || standing.empty()) continue;
     const std::string over = *standing.begin();
     standing.erase(standing.begin());
@@ -645,7 +646,7 @@
   Stage stage;
   Caller caller(stage.loop, stage.edge->listening());
   caller.setup(0xbb, "status", "1500", "at:s-2");
-  ASSERT_TRUE(stage.until([&] { return stage.edge->callers().counts().messages == 1; }));
+  ASSERT_TRUE(stage.until([&] { return stage.edge->callers().counters().messages == 1; }));
   EXPECT_TRUE(caller.got.empty());
   ASSERT_TRUE(watch_begun(stage, 1));
   stage.bus.streams[0]->write(stage.event(2, json::array({serving("s-2", stage.second)})));
@@ -653,7 +654,7 @@
   stage.second.say(0, R"({"type":"release","id":"00000000000000bb","fields":{},"cause":16})");
   ASSERT_TRUE(stage.until([&] { return caller.count(12) == 1; }));
   EXPECT_EQ(caller.got.back().cause, 16);
-  EXPECT_EQ(stage.edge->callers().standing(), 0u);
+  EXPECT_EQ(stage.edge->callers().established(), 0u);
 }
 
 TEST(PlatformEdge, ACallAtAServerThatIsNeverToldIsToldOverInTime) {
@@ -674,7 +675,7 @@
   stage.edge->drain();
   stage.loop.after(11, [&] { stage.loop.stop(); });
   stage.loop.run();
-  EXPECT_EQ(stage.edge->callers().open(), 0u);
+  EXPECT_EQ(stage.edge->callers().open_setups(), 0u);
   return stage.loop.now() - begun;
 }
 
--- a/tests/platform/program_test.cpp
+++ b/tests/platform/program_test.cpp
@@ -89,13 +89,13 @@
     bool passed = false;
     bool failed = true;
     std::shared_ptr<net::Stream> stream;
-    MessageCutter cutter;
+    MessageParser cutter;
     const bool done = until([&] {
       if (failed && !passed) {
         failed = false;
-        cutter = MessageCutter();
+        cutter = MessageParser();
         stream = net::Stream::connect(loop, address, 1 << 16);
-        stream->set({[&] { stream->write(write_message(CallerType::kTest, 5, {})); },
+        stream->set({[&] { stream->write(write_message(CallerMessageType::kTest, 5, {})); },
                      [&](std::string_view bytes) {
                        cutter.feed(bytes);
                        const auto message = cutter.next();
