--- a/src/platform/caller_codec.cpp
+++ b/src/platform/caller_codec.cpp
@@ -12,18 +12,18 @@
 namespace {
 
 constexpr std::size_t kLengthSize = 2;
-constexpr std::size_t kLeastLength = 9;  // type and call
-constexpr std::size_t kMostName = 255;
-constexpr double kMostLeftMs = 600000;  // ten minutes: more is no call's wait
-constexpr double kMostWidth = 1000;
-constexpr double kMostNode = 65535;
+constexpr std::size_t kMinLength = 9;  // type and call id
+constexpr std::size_t kMaxTextSize = 255;
+constexpr double kMaxTimeLeftMs = 600000;  // no caller waits longer than ten minutes
+constexpr double kMaxWidth = 1000;
+constexpr double kMaxNode = 65535;
 
 std::size_t big_endian16(std::string_view text, std::size_t at) {
   return static_cast<std::size_t>(static_cast<unsigned char>(text[at])) << 8 |
          static_cast<unsigned char>(text[at + 1]);
 }
 
-// The number called as a key for the decisions: its value where it is hex, else a hash of its text.
+// Returns the called number as the controller's key: its value if it is hexadecimal, else a hash of its text.
 std::uint64_t key_of(std::string_view number) {
   std::uint64_t key = 0;
   const auto [end, error] = std::from_chars(number.data(), number.data() + number.size(), key, 16);
@@ -31,34 +31,34 @@
   return XXH64(number.data(), number.size(), 0);
 }
 
-const char* read_figures(std::string_view text, CallSetup& out) {
+const char* read_attributes(std::string_view text, CallSetup& out) {
   while (!text.empty()) {
     const std::size_t end = std::min(text.find(';'), text.size());
     const std::string_view item = text.substr(0, end);
     text.remove_prefix(std::min(end + 1, text.size()));
     if (item.empty()) continue;
     const std::size_t colon = item.find(':');
-    if (colon == std::string_view::npos) return "figures without name:value";
+    if (colon == std::string_view::npos) return "attribute is not name:value";
     const std::string_view name = item.substr(0, colon);
     const std::string_view value = item.substr(colon + 1);
     if (name == "at") {
-      if (value.empty() || value.size() > kMostName) return "no core server is named so";
+      if (value.empty() || value.size() > kMaxTextSize) return "at is not a valid core server name";
       out.established_server = std::string(value);
       continue;
     }
     const auto read = instance::read_finite(value);
-    if (!read) return "a figure is no number";
+    if (!read) return "attribute value is not a number";
     const double number = *read;
     if (name == "dest") {
-      if (number < -1 || number > kMostNode || number != std::floor(number)) return "dest is out of range";
+      if (number < -1 || number > kMaxNode || number != std::floor(number)) return "dest is out of range";
       out.first_choice = static_cast<std::int64_t>(number);
     } else if (name == "width") {
-      if (number <= 0 || number > kMostWidth) return "width is out of range";
+      if (number <= 0 || number > kMaxWidth) return "width is out of range";
       out.width = number;
     } else if (name == "via") {
-      if (number < -1 || number > kMostNode) return "via is out of range";
+      if (number < -1 || number > kMaxNode) return "via is out of range";
     } else if (name == "again") {
-      if (number != 0 && number != 1) return "again is neither 0 nor 1";
+      if (number != 0 && number != 1) return "again must be 0 or 1";
       out.was_cut = number == 1;
     }
   }
@@ -84,12 +84,12 @@
   if (at_ > 0 && (at_ == buffer_.size() || at_ >= kMaxMessageSize)) {
     buffer_.erase(0, at_);
     at_ = 0;
-    if (buffer_.empty()) buffer_.shrink_to_fit();  // thousands of quiet connections hold nothing
+    if (buffer_.empty()) buffer_.shrink_to_fit();  // thousands of idle connections hold no memory
   }
   const std::string_view rest = std::string_view(buffer_).substr(at_);
   if (rest.size() < kLengthSize) return std::nullopt;
   const std::size_t length = big_endian16(rest, 0);
-  if (length < kLeastLength) {
+  if (length < kMinLength) {
     fault_ = "length too small";
     return std::nullopt;
   }
@@ -101,19 +101,19 @@
   const std::string_view body = rest.substr(kLengthSize, length);
   CallerMessage message;
   message.type = static_cast<std::uint8_t>(body[0]);
-  for (std::size_t i = 1; i < kLeastLength; ++i) {
+  for (std::size_t i = 1; i < kMinLength; ++i) {
     message.call = message.call << 8 | static_cast<unsigned char>(body[i]);
   }
-  std::size_t at = kLeastLength;
+  std::size_t at = kMinLength;
   while (at < body.size()) {
     if (body.size() - at < 3) {
-      fault_ = "a parameter ends inside its length";
+      fault_ = "truncated parameter header";
       return std::nullopt;
     }
     const auto code = static_cast<std::uint8_t>(body[at]);
     const std::size_t size = big_endian16(body, at + 1);
     if (size > body.size() - at - 3) {
-      fault_ = "a parameter is longer than its message";
+      fault_ = "parameter exceeds its message";
       return std::nullopt;
     }
     message.parameters.emplace_back(code, body.substr(at + 3, size));
@@ -130,31 +130,33 @@
     why = what;
     return std::nullopt;
   };
-  if (out.id == 0) return fault("no id");
+  if (out.id == 0) return fault("missing call id");
   for (std::size_t i = 0; i < message.parameters.size(); ++i) {
     for (std::size_t k = 0; k < i; ++k) {
-      if (message.parameters[k].first == message.parameters[i].first) return fault("a parameter comes twice");
+      if (message.parameters[k].first == message.parameters[i].first) return fault("duplicate parameter");
     }
     if (i > 32) return fault("too many parameters");
   }
   out.service_class = std::string(message.find(Parameter::kClass));
-  if (out.service_class.empty() || out.service_class.size() > kMostName) return fault("no class");
+  if (out.service_class.empty() || out.service_class.size() > kMaxTextSize)
+    return fault("class is missing or too long");
   const auto left_ms = instance::read_finite(message.find(Parameter::kTimeLeft));
-  if (!left_ms) return fault("the time left is no number");
-  if (*left_ms <= 0 || *left_ms > kMostLeftMs) return fault("the time left is out of range");
+  if (!left_ms) return fault("time left is not a number");
+  if (*left_ms <= 0 || *left_ms > kMaxTimeLeftMs) return fault("time left is out of range");
   out.time_left_s = *left_ms / 1000;
-  const std::string_view retry = message.find(Parameter::kRedial);
-  if (!retry.empty() && retry != "0" && retry != "1") return fault("the retry mark is neither 0 nor 1");
-  out.redialled = retry == "1";
+  const std::string_view redial = message.find(Parameter::kRedial);
+  if (!redial.empty() && redial != "0" && redial != "1") return fault("redial flag must be 0 or 1");
+  out.redialled = redial == "1";
   out.number = std::string(message.find(Parameter::kCalledNumber));
-  if (out.number.size() > kMostName) return fault("the number called is too long");
+  if (out.number.size() > kMaxTextSize) return fault("called number is too long");
   out.key = out.number.empty() ? 0 : key_of(out.number);
-  if (const char* bad = read_figures(message.find(Parameter::kAttributes), out)) return fault(bad);
+  if (const char* bad = read_attributes(message.find(Parameter::kAttributes), out)) return fault(bad);
   out.description = std::string(message.find(Parameter::kDescription));
-  if (out.description.empty() && out.established_server.empty()) return fault("no description");
-  // What can't stand in a JSON line can't be passed on; a core server closes over it, with all that is open.
+  if (out.description.empty() && out.established_server.empty()) return fault("missing description");
+  // Text that is not valid in a JSON line cannot be passed on: a core server closes the connection over it,
+  // along with every call that is open on it.
   for (const std::string* text : {&out.service_class, &out.number, &out.description}) {
-    if (!instance::valid_utf8(*text)) return fault("text that is no UTF-8");
+    if (!instance::valid_utf8(*text)) return fault("text is not valid UTF-8");
   }
   return out;
 }
--- a/src/platform/caller_codec.hpp
+++ b/src/platform/caller_codec.hpp
@@ -1,7 +1,7 @@
-// The binary messages between callers and an edge proxy: cut from a stream of bytes, read, written.
+// Parses and writes the binary messages between callers and an edge proxy.
 //
-// Pure: bytes in, messages out. Every malformed form has a name, and no input makes it hold more than one
-// message.
+// Pure: does no I/O and reads no clock. Every malformed form is reported under a name, and no input makes the
+// parser buffer more than one message.
 #ifndef MINTROCK_SRC_PLATFORM_CALLER_CODEC_HPP_
 #define MINTROCK_SRC_PLATFORM_CALLER_CODEC_HPP_
 
@@ -16,7 +16,7 @@
 
 namespace mintrock::platform {
 
-inline constexpr std::size_t kMaxMessageSize = 16 << 10;  // bytes of any message, its length field included
+inline constexpr std::size_t kMaxMessageSize = 16 << 10;  // bytes, including the length field
 
 enum class CallerMessageType : std::uint8_t {
   kSetup = 1,
@@ -28,12 +28,13 @@
   kTestResult = 53
 };
 
+// Codes of message parameters.
 enum class Parameter : std::uint8_t {
   kClass = 3,
   kTimeLeft = 5,
   kRedial = 9,
   kCalledNumber = 11,
-  kAttributes = 13,
+  kAttributes = 13,  // name:value pairs, separated by semicolons
   kRetryAfter = 15,
   kCause = 31,
   kDescription = 33
@@ -42,17 +43,18 @@
 struct CallerMessage {
   std::uint8_t type = 0;
   std::uint64_t call = 0;
-  std::vector<std::pair<std::uint8_t, std::string_view>> parameters;  // into the cutter's buffer
+  std::vector<std::pair<std::uint8_t, std::string_view>> parameters;  // views into the parser's buffer
+  // Returns the value of the first parameter with this code, empty if there is none.
   std::string_view find(Parameter code) const;
 };
 
-// Cuts a stream into messages. After a fault the stream can't be read any further.
+// Splits a byte stream into messages. After a fault the rest of the stream cannot be parsed.
 class MessageParser {
  public:
   void feed(std::string_view bytes) { buffer_.append(bytes); }
-  // The next whole message; its parameters are good until the next call of feed or next.
+  // Returns the next complete message. Its parameters stay valid until the next call of feed() or next().
   std::optional<CallerMessage> next();
-  const char* fault() const { return fault_; }  // null: none
+  const char* fault() const { return fault_; }  // null if none
   bool partial() const { return at_ < buffer_.size(); }
 
  private:
@@ -61,24 +63,24 @@
   const char* fault_ = nullptr;
 };
 
-// A set-up as its caller wrote it, checked but for what only the settings tell.
+// A set-up request, validated except for what depends on the settings.
 struct CallSetup {
   std::uint64_t id = 0;
   std::string service_class;
   double time_left_s = 0;
   bool redialled = false;
-  std::string number;     // passed on as it came
-  std::uint64_t key = 0;  // the same for the decisions; 0: none
-  double width = 1;
+  std::string number;     // called number, passed on unchanged
+  std::uint64_t key = 0;  // called number as the controller's key; 0: none
+  double width = 1;       // lines that the call occupies
   std::int64_t first_choice = -1;
   bool was_cut = false;
-  std::string established_server;  // it stands at this core server already; else empty
+  std::string established_server;  // core server where the call is already established; empty for a new call
   std::string description;
 };
 
-// Null with a fault's name in `why` where it can't be used.
+// Returns nullopt and sets `why` to the name of the fault if the message is not a valid set-up.
 std::optional<CallSetup> read_setup(const CallerMessage& message, const char*& why);
-// The cause of a release; the normal one where it has none.
+// Returns the cause of a release, kCauseNormal if it has none.
 int read_cause(const CallerMessage& message);
 
 std::string write_answer(std::uint64_t call, std::string_view description);
@@ -86,7 +88,7 @@
 std::string write_released(std::uint64_t call);
 std::string write_test_passed(std::uint64_t call, bool passed);
 
-// For tests and stand-ins.
+// Writes any message, for tests and simulated callers.
 std::string write_message(CallerMessageType type, std::uint64_t call,
                           const std::vector<std::pair<Parameter, std::string>>& parameters);
 
--- a/src/platform/caller_side.cpp
+++ b/src/platform/caller_side.cpp
@@ -10,25 +10,27 @@
 namespace mintrock::platform {
 namespace {
 
-// A caller that has said nothing usable is told so, by a close, within 3 s of its connecting; this is sooner
-// by what a busy core may add.
-constexpr double kSilent = 2.0;  // s
-// A message that has begun to arrive is waited for, within those 3 s on a new connection; no longer than
-// this, since a trickle need not end.
-constexpr double kSilentHalf = 2.4;  // s
-constexpr double kHalf = 2.0;        // s
-constexpr double kFresh = 0.1;       // s after connecting, when the process ends: a set-up may lie unread
-// Callers close a connection after 4 s without a call; one that is held beyond is closed here. One whose call
-// stands is not idle: it may be the only one left on which the call's end can be told.
-constexpr double kIdle = 6.0;        // s
-constexpr double kReadFirst = 0.01;  // s that a close is put off for what has arrived unread
-constexpr std::uint32_t kMostPutOff = 3;
-constexpr std::uint32_t kMostFaults = 3;  // unusable messages until the connection is closed
-// An end is told within 8 s of the call's; one that came late is kept no longer than that.
-constexpr double kKeepEnd = 8.0;  // s
-constexpr std::size_t kMostEnds = 4096;
-// An end that was written to a connection shortly before its loss may not have been read: it is told again.
-constexpr double kEndInDoubt = 1.0;  // s
+// A connection without a valid message must be closed within 3 s of its opening; the rest is a margin for a
+// busy core.
+constexpr double kSilentTimeout = 2.0;  // s
+// A partly received message is waited for, on a new connection within those 3 s. The wait is bounded because
+// a sender can trickle bytes for ever.
+constexpr double kSilentPartialTimeout = 2.4;  // s
+constexpr double kPartialTimeout = 2.0;        // s
+// s that a new connection stays open at a shutdown, since a set-up may be unread on it
+constexpr double kNewConnectionGrace = 0.1;
+// Callers close a connection after 4 s without a call; one that is open for longer is closed by this side. A
+// connection with an established call is not idle: it may be the only one left to report the call's end on.
+constexpr double kIdleTimeout = 6.0;  // s
+constexpr double kCloseDelay = 0.01;  // s that a close is delayed to read the bytes that have arrived
+constexpr std::uint32_t kMaxCloseDelays = 3;
+constexpr std::uint32_t kMaxFaults = 3;  // invalid messages until the connection is closed
+// An end must be reported within 8 s of the call's end, so a queued one expires after that time.
+constexpr double kPendingEndLifetime = 8.0;  // s
+constexpr std::size_t kMaxEnds = 4096;
+// An end that was written this shortly before the loss of its connection may not have been read, and is sent
+// again on another one.
+constexpr double kUnacknowledgedWindow = 1.0;  // s
 constexpr double kNever = std::numeric_limits<double>::infinity();
 
 }  // namespace
@@ -38,19 +40,21 @@
   return found == connections_.end() ? nullptr : &found->second;
 }
 
-double CallerSide::due_of(const Connection& connection) const {
-  if (!connection.open.empty()) return kNever;
-  if (!connection.standing.empty() && !leaving_) return kNever;
-  const bool half = connection.cutter.partial();
-  if (leaving_)
-    return half ? connection.partial + kHalf : std::max(connection.active, connection.since + kFresh);
-  if (!connection.answered) return connection.since + (half ? kSilentHalf : kSilent);
-  const double idle = connection.active + kIdle;
-  return half ? std::clamp(connection.partial + kHalf, idle, idle + kHalf) : idle;
+double CallerSide::compute_due(const Connection& connection) const {
+  if (!connection.open_setups.empty()) return kNever;
+  if (!connection.established.empty() && !shutting_down_) return kNever;
+  const bool partial = connection.parser.partial();
+  if (shutting_down_)
+    return partial ? connection.partial_since + kPartialTimeout
+                   : std::max(connection.last_active, connection.opened_at + kNewConnectionGrace);
+  if (!connection.replied) return connection.opened_at + (partial ? kSilentPartialTimeout : kSilentTimeout);
+  const double idle = connection.last_active + kIdleTimeout;
+  return partial ? std::clamp(connection.partial_since + kPartialTimeout, idle, idle + kPartialTimeout)
+                 : idle;
 }
 
-void CallerSide::watch(ConnectionId which, Connection& connection) {
-  const double due = due_of(connection);
+void CallerSide::update_due(ConnectionId which, Connection& connection) {
+  const double due = compute_due(connection);
   if (connection.due == due) return;
   due_.erase({connection.due, which});
   connection.due = due;
@@ -58,31 +62,34 @@
 }
 
 double CallerSide::deadline() const {
-  const double ends = ends_.empty() ? kNever : ends_.front().until;
+  const double ends = pending_ends_.empty() ? kNever : pending_ends_.front().expires_at;
   return std::min(ends, due_.empty() ? kNever : due_.begin()->first);
 }
 
 void CallerSide::tick(double now) {
-  while (!ends_.empty() && ends_.front().until <= now) {
-    ends_.pop_front();
+  while (!pending_ends_.empty() && pending_ends_.front().expires_at <= now) {
+    pending_ends_.pop_front();
     counters_.ends_dropped += 1;
   }
   while (!due_.empty() && due_.begin()->first <= now) {
     const ConnectionId which = due_.begin()->second;
-    if (put_off_close(which, now)) continue;
-    const bool answered = find(which)->answered;
-    (answered ? counters_.closed_idle : counters_.closed_silent) += 1;
-    close(which, leaving_ ? CloseReason::kShutdown : answered ? CloseReason::kIdle : CloseReason::kSilent);
+    if (delay_close(which, now)) continue;
+    const bool replied = find(which)->replied;
+    (replied ? counters_.closed_idle : counters_.closed_silent) += 1;
+    close(which, shutting_down_ ? CloseReason::kShutdown
+                 : replied      ? CloseReason::kIdle
+                                : CloseReason::kSilent);
   }
 }
 
-// What has arrived unread may be a set-up, and is read in the next turn. A trickle need not end.
-bool CallerSide::put_off_close(ConnectionId which, double now) {
+// Delays a close while the connection has unread bytes, which may be a set-up and are read in the next turn
+// of the event loop. The number of delays is bounded because a sender can trickle bytes for ever.
+bool CallerSide::delay_close(ConnectionId which, double now) {
   Connection& connection = *find(which);
-  if (connection.put_off >= kMostPutOff || !delegate_.has_unread(which)) return false;
-  connection.put_off += 1;
+  if (connection.close_delays >= kMaxCloseDelays || !delegate_.has_unread(which)) return false;
+  connection.close_delays += 1;
   due_.erase({connection.due, which});
-  connection.due = now + kReadFirst;
+  connection.due = now + kCloseDelay;
   due_.emplace(connection.due, which);
   return true;
 }
@@ -90,133 +97,133 @@
 void CallerSide::opened(ConnectionId which, double now) {
   counters_.connections += 1;
   Connection& connection = connections_[which];
-  connection.since = connection.active = now;
-  watch(which, connection);
+  connection.opened_at = connection.last_active = now;
+  update_due(which, connection);
 }
 
 void CallerSide::received(ConnectionId from, std::string_view bytes, double now) {
   Connection* connection = find(from);
   if (connection == nullptr) return;
-  if (!connection->cutter.partial()) connection->partial = now;
-  connection->cutter.feed(bytes);
+  if (!connection->parser.partial()) connection->partial_since = now;
+  connection->parser.feed(bytes);
   while (connection != nullptr) {
-    const auto message = connection->cutter.next();
+    const auto message = connection->parser.next();
     if (!message) break;
     counters_.messages += 1;
-    take(from, *message, now);
-    connection = find(from);  // a fault may have closed it
-    if (connection != nullptr) connection->partial = now;
+    handle_message(from, *message, now);
+    connection = find(from);  // may be closed after a fault
+    if (connection != nullptr) connection->partial_since = now;
   }
   if (connection == nullptr) return;
-  if (const char* what = connection->cutter.fault()) {
+  if (const char* what = connection->parser.fault()) {
     counters_.faults += 1;
     delegate_.caller_fault(from, what);
     return close(from, CloseReason::kInvalidMessages);
   }
-  watch(from, *connection);
+  update_due(from, *connection);
 }
 
-void CallerSide::take(ConnectionId from, const CallerMessage& message, double now) {
+void CallerSide::handle_message(ConnectionId from, const CallerMessage& message, double now) {
   Connection& connection = *find(from);
   switch (static_cast<CallerMessageType>(message.type)) {
     case CallerMessageType::kSetup:
-      return take_setup(from, message, now);
+      return handle_setup(from, message, now);
     case CallerMessageType::kRelease: {
-      const auto owner = open_.find(message.call);
-      if (owner != open_.end() && owner->second != from) {
-        // Somebody else's open set-up.
-        return fault(from, message.call, "a release of another's set-up");
+      const auto owner = open_setups_.find(message.call);
+      if (owner != open_setups_.end() && owner->second != from) {
+        return handle_fault(from, message.call, "release of a set-up that is open on another connection");
       }
-      if (owner != open_.end()) {
-        connection.open.erase(message.call);
-        open_.erase(owner);
+      if (owner != open_setups_.end()) {
+        connection.open_setups.erase(message.call);
+        open_setups_.erase(owner);
         delegate_.hang_up(message.call);
-        connection.active = now;
+        connection.last_active = now;
         return;
       }
       if (delegate_.hang_up(message.call)) {
-        stands_no_more(message.call, now);
+        remove_established(message.call, now);
         delegate_.send_to_caller(from, write_released(message.call));
-        connection.answered = true;
-        connection.active = now;
+        connection.replied = true;
+        connection.last_active = now;
       }
-      return;  // one that is over already: its end has been told, or is not owed
+      return;  // the call has ended already: its end was sent, or none is pending
     }
     case CallerMessageType::kTest:
       delegate_.send_to_caller(from, write_test_passed(message.call, true));
-      connection.answered = true;
-      connection.active = now;
+      connection.replied = true;
+      connection.last_active = now;
       return;
     case CallerMessageType::kProgress:
       return;
     case CallerMessageType::kReleased:
-      connection.told.erase(std::remove_if(connection.told.begin(), connection.told.end(),
-                                           [&](const ToldEnd& each) { return each.id == message.call; }),
-                            connection.told.end());
+      connection.unacknowledged_ends.erase(
+          std::remove_if(connection.unacknowledged_ends.begin(), connection.unacknowledged_ends.end(),
+                         [&](const SentEnd& each) { return each.id == message.call; }),
+          connection.unacknowledged_ends.end());
       return;
     default:
-      return fault(from, message.call, "unknown type");
+      return handle_fault(from, message.call, "unknown message type");
   }
 }
 
-void CallerSide::take_setup(ConnectionId from, const CallerMessage& message, double now) {
+void CallerSide::handle_setup(ConnectionId from, const CallerMessage& message, double now) {
   Connection& connection = *find(from);
-  const char* why = nullptr;
-  std::optional<CallSetup> setup = read_setup(message, why);
-  if (!setup) return fault(from, message.call, why);
+  const char* reason = nullptr;
+  std::optional<CallSetup> setup = read_setup(message, reason);
+  if (!setup) return handle_fault(from, message.call, reason);
   const std::uint64_t id = setup->id;
-  const auto owner = open_.find(id);
-  if (owner != open_.end()) {
+  const auto owner = open_setups_.find(id);
+  if (owner != open_setups_.end()) {
     counters_.duplicates += 1;
     if (owner->second == from) {
-      // Which of the two an answer was for could not be told: neither is served.
-      connection.open.erase(id);
-      open_.erase(owner);
+      // The caller could not tell which of the two an answer is for, so neither is served.
+      connection.open_setups.erase(id);
+      open_setups_.erase(owner);
       delegate_.hang_up(id);
     }
-    return fault(from, id, "the id of an open set-up");
+    return handle_fault(from, id, "duplicate id of an open set-up");
   }
   if (!setup->established_server.empty()) {
-    connection.answered = true;    // none is owed
-    stands(id, from, connection);  // first: it may be over already, and its end told at once
-    if (const char* bad = delegate_.take_over(*setup)) {
-      stands_no_more(id, now);
-      return fault(from, id, bad);
+    connection.replied = true;  // the caller expects no answer
+    // Before take_over(), which reports the end at once if the call has ended already.
+    add_established(id, from, connection);
+    if (const char* what = delegate_.take_over(*setup)) {
+      remove_established(id, now);
+      return handle_fault(from, id, what);
     }
-    return carry(from, connection, now);
+    return accept_setup(from, connection, now);
   }
   counters_.setups += 1;
-  connection.open.insert(id);
-  open_.emplace(id, from);
-  connection.active = now;
-  if (const char* bad = delegate_.offer(std::move(*setup))) {
-    open_.erase(id);
-    if (Connection* again = find(from)) again->open.erase(id);
-    return fault(from, id, bad);
+  connection.open_setups.insert(id);
+  open_setups_.emplace(id, from);
+  connection.last_active = now;
+  if (const char* what = delegate_.offer(std::move(*setup))) {
+    open_setups_.erase(id);
+    if (Connection* again = find(from)) again->open_setups.erase(id);
+    return handle_fault(from, id, what);
   }
-  if (Connection* again = find(from)) carry(from, *again, now);
+  if (Connection* again = find(from)) accept_setup(from, *again, now);
 }
 
-// Calls come on it: what ended meanwhile is told here.
-void CallerSide::carry(ConnectionId which, Connection& connection, double now) {
-  connection.carries = true;
-  connection.active = now;
-  for (const End& each : std::exchange(ends_, {})) {
-    tell_end(each.id, each.cause, which, now);
-    connection.answered = true;
+void CallerSide::accept_setup(ConnectionId which, Connection& connection, double now) {
+  connection.had_setup = true;
+  connection.last_active = now;
+  for (const PendingEnd& each : std::exchange(pending_ends_, {})) {
+    send_end(each.id, each.cause, which, now);
+    connection.replied = true;
   }
 }
 
-void CallerSide::fault(ConnectionId from, std::uint64_t id, const char* what) {
+void CallerSide::handle_fault(ConnectionId from, std::uint64_t id, const char* what) {
   counters_.faults += 1;
   delegate_.caller_fault(from, what);
   Connection& connection = *find(from);
   connection.faults += 1;
   if (id != 0) {
     delegate_.send_to_caller(from, write_release(id, kCauseInvalid));
-    connection.answered = true;
+    connection.replied = true;
   }
-  if (id == 0 || connection.faults >= kMostFaults) close(from, CloseReason::kInvalidMessages);
+  if (id == 0 || connection.faults >= kMaxFaults) close(from, CloseReason::kInvalidMessages);
 }
 
 CallerSide::Connection CallerSide::remove(ConnectionId which) {
@@ -224,10 +231,10 @@
   Connection gone = std::move(found->second);
   connections_.erase(found);
   due_.erase({gone.due, which});
-  for (const std::uint64_t id : gone.standing) standing_.erase(id);
-  if (teller_ == which) teller_ = 0;
-  for (const std::uint64_t id : gone.open) {
-    open_.erase(id);
+  for (const std::uint64_t id : gone.established) established_.erase(id);
+  if (preferred_for_ends_ == which) preferred_for_ends_ = 0;
+  for (const std::uint64_t id : gone.open_setups) {
+    open_setups_.erase(id);
     delegate_.hang_up(id);
   }
   return gone;
@@ -236,17 +243,17 @@
 void CallerSide::lost(ConnectionId which, double now) {
   if (connections_.count(which) == 0) return;
   const Connection gone = remove(which);
-  // What was written as the other side closed was not read.
-  for (const ToldEnd& each : gone.told) {
-    if (each.at + kEndInDoubt <= now) continue;
+  // The caller has not read what was written while it was closing the connection.
+  for (const SentEnd& each : gone.unacknowledged_ends) {
+    if (each.sent_at + kUnacknowledgedWindow <= now) continue;
     counters_.ends_resent += 1;
     report_end(each.id, each.cause, now);
   }
 }
 
 void CallerSide::begin_shutdown() {
-  leaving_ = true;
-  for (auto& [which, connection] : connections_) watch(which, connection);
+  shutting_down_ = true;
+  for (auto& [which, connection] : connections_) update_due(which, connection);
 }
 
 void CallerSide::close_all() {
@@ -254,24 +261,24 @@
 }
 
 void CallerSide::close(ConnectionId which, CloseReason reason) {
-  delegate_.caller_closed(which, reason, find(which)->standing.size());
+  delegate_.caller_closed(which, reason, find(which)->established.size());
   remove(which);
   delegate_.close_caller(which);
 }
 
 ConnectionId CallerSide::eviction_candidate() const {
   using Rank = std::tuple<bool, bool, bool, double, ConnectionId>;
-  std::vector<Rank> spare;
+  std::vector<Rank> candidates;
   for (const auto& [which, connection] : connections_) {
-    if (!connection.open.empty()) continue;
-    spare.emplace_back(connection.cutter.partial(), !connection.standing.empty(), connection.answered,
-                       connection.active, which);
+    if (!connection.open_setups.empty()) continue;
+    candidates.emplace_back(connection.parser.partial(), !connection.established.empty(), connection.replied,
+                            connection.last_active, which);
   }
-  const auto lowest_last = std::greater<>();
-  std::make_heap(spare.begin(), spare.end(), lowest_last);
-  for (; !spare.empty(); spare.pop_back()) {
-    std::pop_heap(spare.begin(), spare.end(), lowest_last);
-    const ConnectionId which = std::get<ConnectionId>(spare.back());
+  const auto lowest_on_top = std::greater<>();
+  std::make_heap(candidates.begin(), candidates.end(), lowest_on_top);
+  for (; !candidates.empty(); candidates.pop_back()) {
+    std::pop_heap(candidates.begin(), candidates.end(), lowest_on_top);
+    const ConnectionId which = std::get<ConnectionId>(candidates.back());
     if (!delegate_.has_unread(which)) return which;
   }
   return 0;
@@ -283,89 +290,89 @@
 }
 
 void CallerSide::answer(std::uint64_t id, std::string_view description, double now) {
-  const ConnectionId to = settle(id, write_answer(id, description), now);
+  const ConnectionId to = send_final_answer(id, write_answer(id, description), now);
   Connection* const connection = find(to);
   if (connection == nullptr) return;
-  connection->served = true;
-  teller_ = to;
-  stands(id, to, *connection);
-  watch(to, *connection);
+  connection->had_answer = true;
+  preferred_for_ends_ = to;
+  add_established(id, to, *connection);
+  update_due(to, *connection);
 }
 
-void CallerSide::stands(std::uint64_t id, ConnectionId on, Connection& connection) {
-  const auto [place, fresh] = standing_.emplace(id, on);
-  if (!fresh && place->second != on) {  // its caller names it anew, on another connection
-    if (Connection* const before = find(place->second)) {
-      before->standing.erase(id);
-      watch(place->second, *before);
+void CallerSide::add_established(std::uint64_t id, ConnectionId on, Connection& connection) {
+  const auto [entry, inserted] = established_.emplace(id, on);
+  if (!inserted && entry->second != on) {  // the caller has announced the call again on another connection
+    if (Connection* const previous = find(entry->second)) {
+      previous->established.erase(id);
+      update_due(entry->second, *previous);
     }
-    place->second = on;
+    entry->second = on;
   }
-  connection.standing.insert(id);
+  connection.established.insert(id);
 }
 
-void CallerSide::stands_no_more(std::uint64_t id, double now) {
-  const auto found = standing_.find(id);
-  if (found == standing_.end()) return;
+void CallerSide::remove_established(std::uint64_t id, double now) {
+  const auto found = established_.find(id);
+  if (found == established_.end()) return;
   const ConnectionId on = found->second;
-  standing_.erase(found);
-  Connection& connection = *find(on);  // one that is lost takes its calls with it
-  connection.standing.erase(id);
-  connection.active = now;
-  watch(on, connection);
+  established_.erase(found);
+  Connection& connection = *find(on);  // present: remove() drops the calls of a lost connection
+  connection.established.erase(id);
+  connection.last_active = now;
+  update_due(on, connection);
 }
 
 void CallerSide::refuse(std::uint64_t id, int cause, std::optional<std::uint32_t> retry_after_ms,
                         double now) {
-  settle(id, write_release(id, cause, retry_after_ms), now);
+  send_final_answer(id, write_release(id, cause, retry_after_ms), now);
 }
 
-ConnectionId CallerSide::settle(std::uint64_t id, std::string_view bytes, double now) {
-  const auto owner = open_.find(id);
-  if (owner == open_.end()) return 0;
+ConnectionId CallerSide::send_final_answer(std::uint64_t id, std::string_view bytes, double now) {
+  const auto owner = open_setups_.find(id);
+  if (owner == open_setups_.end()) return 0;
   const ConnectionId to = owner->second;
-  open_.erase(owner);
-  Connection& connection = *find(to);  // one that is lost takes its open set-ups with it
-  connection.open.erase(id);
-  connection.answered = true;
-  connection.active = now;
+  open_setups_.erase(owner);
+  Connection& connection = *find(to);  // present: remove() drops the open set-ups of a lost connection
+  connection.open_setups.erase(id);
+  connection.replied = true;
+  connection.last_active = now;
   delegate_.send_to_caller(to, bytes);
-  watch(to, connection);
+  update_due(to, connection);
   return to;
 }
 
-void CallerSide::tell_end(std::uint64_t id, int cause, ConnectionId to, double now) {
-  std::deque<ToldEnd>& told = find(to)->told;
-  while (!told.empty() && (told.front().at + kEndInDoubt <= now || told.size() >= kMostEnds)) {
-    told.pop_front();
+void CallerSide::send_end(std::uint64_t id, int cause, ConnectionId to, double now) {
+  std::deque<SentEnd>& sent = find(to)->unacknowledged_ends;
+  while (!sent.empty() && (sent.front().sent_at + kUnacknowledgedWindow <= now || sent.size() >= kMaxEnds)) {
+    sent.pop_front();
   }
-  told.push_back({id, cause, now});
+  sent.push_back({id, cause, now});
   delegate_.end_reported(id, to);
   delegate_.send_to_caller(to, write_release(id, cause));
 }
 
 void CallerSide::report_end(std::uint64_t id, int cause, double now) {
-  const auto own = standing_.find(id);
-  ConnectionId to = own != standing_.end() ? own->second : teller_;
-  stands_no_more(id, now);
+  const auto own = established_.find(id);
+  ConnectionId to = own != established_.end() ? own->second : preferred_for_ends_;
+  remove_established(id, now);
   if (to == 0) {
     std::pair<bool, double> best{false, -1};
     for (const auto& [which, connection] : connections_) {
-      const std::pair<bool, double> rank{connection.served, connection.active};
-      if (!connection.carries || rank <= best) continue;
+      const std::pair<bool, double> rank{connection.had_answer, connection.last_active};
+      if (!connection.had_setup || rank <= best) continue;
       best = rank;
       to = which;
     }
-    if (best.first) teller_ = to;  // one that none was served on may be no caller's
+    if (best.first) preferred_for_ends_ = to;  // without an answered set-up it may not belong to a caller
   }
-  if (to != 0) return tell_end(id, cause, to, now);
+  if (to != 0) return send_end(id, cause, to, now);
   delegate_.end_reported(id, 0);
   counters_.ends_queued += 1;
-  if (ends_.size() >= kMostEnds) {
-    ends_.pop_front();
+  if (pending_ends_.size() >= kMaxEnds) {
+    pending_ends_.pop_front();
     counters_.ends_dropped += 1;
   }
-  ends_.push_back({id, cause, now + kKeepEnd});
+  pending_ends_.push_back({id, cause, now + kPendingEndLifetime});
 }
 
 }  // namespace mintrock::platform
--- a/src/platform/caller_side.hpp
+++ b/src/platform/caller_side.hpp
@@ -1,9 +1,10 @@
-// The callers of an edge proxy: their connections, whose set-up is open on which, what is answered where, the
-// ends of calls that stand and are told on any connection, and which connections are closed.
+// The caller side of an edge proxy: tracks the callers' connections and the set-ups open on each, sends every
+// set-up's answer to the connection that it came on, reports the ends of established calls, and decides which
+// connections to close.
 //
-// Pure: bytes and times in, calls of CallerSideDelegate out; no sockets, no clock. Connections are numbers
-// that the shell gives. Bounded: by the connections that the shell admits, the calls that the shell takes,
-// and the ends that are kept for want of a connection.
+// Pure: does no I/O and reads no clock; takes bytes and times, calls CallerSideDelegate. The I/O layer
+// numbers the connections. Memory is bounded by the connections and calls that the I/O layer admits; the
+// queue of ends that wait for a connection has a fixed maximum.
 #ifndef MINTROCK_SRC_PLATFORM_CALLER_SIDE_HPP_
 #define MINTROCK_SRC_PLATFORM_CALLER_SIDE_HPP_
 
@@ -20,30 +21,32 @@
 
 namespace mintrock::platform {
 
-using ConnectionId = std::uint64_t;  // never used again
+using ConnectionId = std::uint64_t;  // never reused
 
-// Why this proxy closes a caller's connection.
+// Why the edge proxy closes a caller's connection.
 enum class CloseReason { kSilent, kIdle, kEvicted, kInvalidMessages, kShutdown };
 
 class CallerSideDelegate {
  public:
   virtual ~CallerSideDelegate() = default;
   virtual void send_to_caller(ConnectionId to, std::string_view bytes) = 0;
-  // What was written arrives; the shell calls nothing of this connection's any more.
+  // Closes the connection after everything sent to it is delivered. The I/O layer must not report any further
+  // event of it.
   virtual void close_caller(ConnectionId which) = 0;
-  // Bytes have arrived on it that were not handed to received() yet: maybe a set-up.
+  // Returns whether the connection has bytes that were not passed to received() yet; they may be a set-up.
   virtual bool has_unread(ConnectionId which) = 0;
-  // A set-up to be answered, once, by answer() or refuse(), maybe before this returns. A fault's name where
-  // it can't be taken; then nothing more is owed for it.
+  // Offers a set-up. It is answered once, by answer() or refuse(), possibly before this returns. Returns the
+  // name of a fault if the set-up is not accepted; no answer follows then.
   virtual const char* offer(CallSetup setup) = 0;
-  // A call that stands at a core server already is made known.
+  // Takes over a call that is already established at a core server. Returns the name of a fault, or null.
   virtual const char* take_over(const CallSetup& setup) = 0;
-  // The caller gives a set-up up, or releases a call that stands. False: it is not known.
+  // The caller abandons a set-up or releases an established call. Returns false if the call is unknown.
   virtual bool hang_up(std::uint64_t id) = 0;
-  virtual void caller_fault(ConnectionId from, const char* what) = 0;  // for the log
-  // Likewise: a connection is closed here, with this many calls on it that stand.
-  virtual void caller_closed(ConnectionId which, CloseReason reason, std::size_t standing) = 0;
-  // Likewise: the end of a call that stood was written to a connection; 0: kept until there is one.
+  // Logs an invalid message.
+  virtual void caller_fault(ConnectionId from, const char* what) = 0;
+  // Logs that the caller side closes a connection with this many established calls on it.
+  virtual void caller_closed(ConnectionId which, CloseReason reason, std::size_t established) = 0;
+  // Logs that the end of an established call was written to a connection; 0: queued until there is one.
   virtual void end_reported(std::uint64_t id, ConnectionId to) = 0;
 };
 
@@ -52,104 +55,109 @@
   std::uint64_t messages = 0;
   std::uint64_t setups = 0;
   std::uint64_t faults = 0;
-  std::uint64_t duplicates = 0;     // the id of an open set-up
-  std::uint64_t closed_silent = 0;  // nothing usable came in time
+  std::uint64_t duplicates = 0;     // set-ups with the id of an open set-up
+  std::uint64_t closed_silent = 0;  // closed because no valid message arrived in time
   std::uint64_t closed_idle = 0;
   std::uint64_t evicted = 0;
-  std::uint64_t ends_queued = 0;   // told later, for want of a connection
-  std::uint64_t ends_dropped = 0;  // never told
-  std::uint64_t ends_resent = 0;   // told again, since their connection was lost
+  std::uint64_t ends_queued = 0;   // had to wait for a connection
+  std::uint64_t ends_dropped = 0;  // discarded without being sent
+  std::uint64_t ends_resent = 0;   // sent again because their connection was lost
 };
 
 class CallerSide {
  public:
   explicit CallerSide(CallerSideDelegate& delegate) : delegate_(delegate) {}
 
-  // ---- From the shell ----
+  // ---- Called by the I/O layer ----
   void opened(ConnectionId which, double now);
   void received(ConnectionId from, std::string_view bytes, double now);
   void lost(ConnectionId which, double now);
   void tick(double now);
   double deadline() const;
-  // The connection to close for a new one when there is no room: the one that has said nothing for longest,
-  // else the one that has carried nothing for longest; those whose calls stand after these, those with a
-  // message half arrived last. 0: each has an open set-up, or bytes that were not read yet.
+  // Returns the connection to close when a new one needs its place. Connections that were sent nothing yet
+  // come first, then the others, longest inactive first; those with established calls come after these, and
+  // those with a partly received message last. Returns 0 if each connection has an open set-up or unread
+  // bytes.
   ConnectionId eviction_candidate() const;
   void evict(ConnectionId which);
-  // The process ends: each connection falls due once nothing on it is owed an answer or has begun to arrive.
+  // Starts the shutdown: each connection is closed as soon as it has neither a pending answer nor a partly
+  // received message.
   void begin_shutdown();
   void close_all();
 
-  // ---- From the desk ----
+  // ---- Called by the call manager ----
   void answer(std::uint64_t id, std::string_view description, double now);
   void refuse(std::uint64_t id, int cause, std::optional<std::uint32_t> retry_after_ms, double now);
-  // A call that stood is over: told on the connection that it came on, else on any that calls came on, kept
-  // until there is one.
+  // Reports the end of an established call on the connection that the call came on, else on any connection
+  // that carried a set-up. Without such a connection the end is queued.
   void report_end(std::uint64_t id, int cause, double now);
 
-  // Ends of calls that no connection could carry yet.
-  std::size_t pending_ends() const { return ends_.size(); }
+  // Number of ends that wait for a connection.
+  std::size_t pending_ends() const { return pending_ends_.size(); }
   std::size_t connections() const { return connections_.size(); }
-  std::size_t open_setups() const { return open_.size(); }
-  std::size_t established() const { return standing_.size(); }
-  std::size_t unsent_ends() const { return ends_.size(); }
+  std::size_t open_setups() const { return open_setups_.size(); }
+  std::size_t established() const { return established_.size(); }
+  std::size_t unsent_ends() const { return pending_ends_.size(); }
   const CallerCounters& counters() const { return counters_; }
 
  private:
-  // An end that was written to a connection, and may be lost with it.
-  struct ToldEnd {
+  // An end that was written to a connection and may be lost with it.
+  struct SentEnd {
     std::uint64_t id = 0;
     int cause = 0;
-    double at = 0;
+    double sent_at = 0;
   };
   struct Connection {
-    MessageParser cutter;
-    std::deque<ToldEnd> told;          // lately, and not heard by the caller as far as is known
-    std::set<std::uint64_t> open;      // set-ups that are owed an answer here
-    std::set<std::uint64_t> standing;  // calls that came on it and stand: its caller waits for their ends
-    double since = 0;
-    double active = 0;      // when it last carried something of a call's
-    double partial = 0;     // since when a message has been arriving, where one is
-    bool answered = false;  // something was said to it: its caller is not kept waiting
-    bool carries = false;   // usable set-ups came on it: ends of calls may be told here
-    bool served = false;    // and one was served: no doubt that it is a caller's
+    MessageParser parser;
+    std::deque<SentEnd> unacknowledged_ends;  // recently sent
+    std::set<std::uint64_t> open_setups;      // set-ups with a pending answer
+    std::set<std::uint64_t> established;  // established calls that came on it; their ends are reported on it
+    double opened_at = 0;
+    double last_active = 0;    // when it last carried a message of a call
+    double partial_since = 0;  // when a partly received message began to arrive
+    bool replied = false;      // something was sent to its caller, so it is not kept waiting
+    bool had_setup = false;    // carried a valid set-up, so ends of calls may be reported on it
+    bool had_answer = false;   // a set-up was answered on it, so it surely belongs to a caller
     std::uint32_t faults = 0;
-    std::uint32_t put_off = 0;  // times that its close was, for what had arrived unread
-    double due = std::numeric_limits<double>::infinity();  // its place in due_
+    std::uint32_t close_delays = 0;  // times that its close was delayed because of unread bytes
+    double due = std::numeric_limits<double>::infinity();  // its key in due_
   };
-  struct End {
+  struct PendingEnd {
     std::uint64_t id = 0;
     int cause = 0;
-    double until = 0;
+    double expires_at = 0;
   };
 
-  void take(ConnectionId from, const CallerMessage& message, double now);
-  void take_setup(ConnectionId from, const CallerMessage& message, double now);
-  // Answers what can't be used, and closes the connection that keeps sending it.
-  void fault(ConnectionId from, std::uint64_t id, const char* what);
+  void handle_message(ConnectionId from, const CallerMessage& message, double now);
+  void handle_setup(ConnectionId from, const CallerMessage& message, double now);
+  // Answers an invalid message, and closes a connection that keeps sending them.
+  void handle_fault(ConnectionId from, std::uint64_t id, const char* what);
   void close(ConnectionId which, CloseReason reason);
-  bool put_off_close(ConnectionId which, double now);
-  void tell_end(std::uint64_t id, int cause, ConnectionId to, double now);
-  // The connection is no more: its callers have gone. What it held is returned.
+  bool delay_close(ConnectionId which, double now);
+  void send_end(std::uint64_t id, int cause, ConnectionId to, double now);
+  // Removes a connection, abandons its open set-ups and returns its state.
   Connection remove(ConnectionId which);
-  // The call stands, or is known to stand: its end is told here while this connection lasts.
-  void stands(std::uint64_t id, ConnectionId on, Connection& connection);
-  void stands_no_more(std::uint64_t id, double now);
-  // The final answer of an open set-up goes to the connection that it is owed on; 0: none is owed.
-  ConnectionId settle(std::uint64_t id, std::string_view bytes, double now);
+  // Marks a call as established. Its end is reported on this connection while the connection lasts.
+  void add_established(std::uint64_t id, ConnectionId on, Connection& connection);
+  void remove_established(std::uint64_t id, double now);
+  // Sends the final answer of an open set-up to its connection and returns it; 0 if no answer is pending.
+  ConnectionId send_final_answer(std::uint64_t id, std::string_view bytes, double now);
   Connection* find(ConnectionId which);
-  void carry(ConnectionId which, Connection& connection, double now);
-  double due_of(const Connection& connection) const;
-  void watch(ConnectionId which, Connection& connection);
+  // Records that the connection carries calls, and reports the pending ends on it.
+  void accept_setup(ConnectionId which, Connection& connection, double now);
+  double compute_due(const Connection& connection) const;
+  void update_due(ConnectionId which, Connection& connection);
 
   CallerSideDelegate& delegate_;
   std::unordered_map<ConnectionId, Connection> connections_;
-  std::unordered_map<std::uint64_t, ConnectionId> open_;      // where each open set-up is owed its answer
-  std::unordered_map<std::uint64_t, ConnectionId> standing_;  // where each call that stands came, while open
-  std::set<std::pair<double, ConnectionId>> due_;             // when each quiet connection is looked at
-  bool leaving_ = false;
-  ConnectionId teller_ = 0;  // where ends are told; 0: to be looked for
-  std::deque<End> ends_;
+  std::unordered_map<std::uint64_t, ConnectionId> open_setups_;  // where each open set-up's answer goes
+  std::unordered_map<std::uint64_t, ConnectionId>
+      established_;                                // where each established call came, while open
+  std::set<std::pair<double, ConnectionId>> due_;  // when to check each connection for closing
+  bool shutting_down_ = false;
+  // Where the ends of calls without a connection of their own are reported; 0: not chosen.
+  ConnectionId preferred_for_ends_ = 0;
+  std::deque<PendingEnd> pending_ends_;
   CallerCounters counters_;
 };
 
--- a/src/platform/config.cpp
+++ b/src/platform/config.cpp
@@ -9,32 +9,32 @@
 
 using nlohmann::json;
 
-[[noreturn]] void bad(const std::string& place) {
-  throw std::runtime_error("the platform's configuration: " + place);
+[[noreturn]] void fail(const std::string& problem) {
+  throw std::runtime_error("platform configuration: " + problem);
 }
 
 const json& member(const json& from, const char* key) {
   const auto found = from.find(key);
-  if (found == from.end()) bad(std::string(key) + " is missing");
+  if (found == from.end()) fail(std::string(key) + " is missing");
   return *found;
 }
 
 std::string text(const json& from, const char* key) {
   const json& value = member(from, key);
-  if (!value.is_string()) bad(std::string(key) + " is no text");
+  if (!value.is_string()) fail(std::string(key) + " is not a string");
   return value.get<std::string>();
 }
 
-std::string plain(const json& value) { return value.is_string() ? value.get<std::string>() : value.dump(); }
+std::string to_text(const json& value) { return value.is_string() ? value.get<std::string>() : value.dump(); }
 
-// Nested JSON as the pairs that the simulator's wire has.
+// Flattens nested JSON into the path=value pairs of the simulator's protocol.
 void flatten(const json& from, const std::string& path, instance::PathValues& out) {
   if (from.is_object()) {
     for (const auto& [key, value] : from.items()) flatten(value, path.empty() ? key : path + "." + key, out);
     return;
   }
   if (!from.is_array()) {
-    out[path] = plain(from);
+    out[path] = to_text(from);
     return;
   }
   const bool nested = !from.empty() && from.front().is_structured();
@@ -44,24 +44,24 @@
     if (nested) {
       flatten(from[i], path + "." + std::to_string(i), out);
     } else {
-      joined += (i == 0 ? "" : ",") + plain(from[i]);
+      joined += (i == 0 ? "" : ",") + to_text(from[i]);
     }
   }
   if (!nested) out[path] = joined;
 }
 
-double number(const json& from, const char* key, double least, double most, double otherwise) {
+double number(const json& from, const char* key, double min, double max, double fallback) {
   const auto found = from.find(key);
-  if (found == from.end()) return otherwise;
-  if (!found->is_number()) bad(std::string(key) + " is no number");
+  if (found == from.end()) return fallback;
+  if (!found->is_number()) fail(std::string(key) + " is not a number");
   const double value = found->get<double>();
-  if (!(value >= least && value <= most)) bad(std::string(key) + " is out of range");
+  if (!(value >= min && value <= max)) fail(std::string(key) + " is out of range");
   return value;
 }
 
 json parse_object(const std::string& file) {
   json parsed = json::parse(file, nullptr, false);
-  if (!parsed.is_object()) bad("no JSON object");
+  if (!parsed.is_object()) fail("not a JSON object");
   return parsed;
 }
 
@@ -78,50 +78,50 @@
   if (out.has_peers) {
     out.peer_listen = net::parse_address(text(parsed, "peer_listen"));
     for (const json& each : *peers) {
-      if (!each.is_string()) bad("a peer is no text");
+      if (!each.is_string()) fail("peers has an item that is not a string");
       out.peers.push_back(net::parse_address(each.get<std::string>()));
     }
   }
   const std::string seed = text(parsed, "seed");
   const auto [end, error] = std::from_chars(seed.data(), seed.data() + seed.size(), out.seed, 16);
-  if (error != std::errc() || end != seed.data() + seed.size()) bad("seed is no hex number");
+  if (error != std::errc() || end != seed.data() + seed.size()) fail("seed is not a hexadecimal number");
   if (parsed.contains("limits")) {
     const json& limits = parsed["limits"];
-    if (!limits.is_object()) bad("limits are no object");
+    if (!limits.is_object()) fail("limits is not an object");
     out.memory_mb = static_cast<std::uint32_t>(number(limits, "memory_mb", 8, 1e6, out.memory_mb));
     out.sockets = static_cast<std::uint32_t>(number(limits, "sockets", 64, 1e6, out.sockets));
   }
   const json& settings = member(parsed, "settings");
-  if (!settings.is_object()) bad("settings are no object");
+  if (!settings.is_object()) fail("settings is not an object");
   instance::PathValues pairs;
   flatten(settings, "", pairs);
   out.instance = instance::parse_settings(pairs);
-  const auto names = [&](const char* key, std::vector<std::string>& into, bool objects) {
+  const auto read_names = [&](const char* key, std::vector<std::string>& into, bool objects) {
     const json& list = member(settings, key);
-    if (!list.is_array()) bad(std::string(key) + " are no list");
+    if (!list.is_array()) fail(std::string(key) + " is not a list");
     for (const json& each : list) {
-      if (objects && !each.is_object()) bad(std::string(key) + " has an item that is no object");
+      if (objects && !each.is_object()) fail(std::string(key) + " has an item that is not an object");
       const json& name = objects ? member(each, "name") : each;
-      if (!name.is_string()) bad(std::string(key) + " has an item without a name");
+      if (!name.is_string()) fail(std::string(key) + " has an item without a name");
       into.push_back(name.get<std::string>());
     }
   };
-  names("classes", out.class_names, true);
-  names("skus", out.kind_names, false);
-  if (out.class_names.empty()) bad("no classes");
+  read_names("classes", out.class_names, true);
+  read_names("skus", out.kind_names, false);
+  if (out.class_names.empty()) fail("classes is empty");
   if (settings.contains("limits") && settings["limits"].is_object()) {
     out.connect_timeout_s = number(settings["limits"], "connect_timeout_s", 0.01, 60, out.connect_timeout_s);
     out.max_open_calls =
         static_cast<std::uint32_t>(number(settings["limits"], "open_cap", 1, 1e7, out.max_open_calls));
   }
   const json& known = member(parsed, "known");
-  if (!known.is_object()) bad("known is no object");
+  if (!known.is_object()) fail("known is not an object");
   const json& batch = member(known, "batch");
-  if (!batch.is_array()) bad("batch is no list");
+  if (!batch.is_array()) fail("known.batch is not a list");
   for (const json& each : batch)
     out.known_servers.push_back(parse_topology_event(each.dump(), out.kind_names));
   const json& offset = member(known, "offset");
-  if (!offset.is_number_unsigned()) bad("offset is no number");
+  if (!offset.is_number_unsigned()) fail("known.offset is not an unsigned number");
   out.list_offset = offset.get<std::uint64_t>();
   return out;
 }
--- a/src/platform/config.hpp
+++ b/src/platform/config.hpp
@@ -1,6 +1,7 @@
-// What the platform tells an edge proxy at its start: addresses, limits, settings, the core servers known.
+// The configuration that the platform gives an edge proxy at its start: addresses, limits, settings and the
+// known core servers.
 //
-// Pure: text in, checked values out. Nonsense throws std::runtime_error with the place.
+// Pure: does no I/O and reads no clock. Invalid text throws std::runtime_error that names the key.
 #ifndef MINTROCK_SRC_PLATFORM_CONFIG_HPP_
 #define MINTROCK_SRC_PLATFORM_CONFIG_HPP_
 
@@ -21,21 +22,21 @@
   net::Address bus;
   bool has_peers = false;
   net::Address peer_listen;
-  std::vector<net::Address> peers;  // one for each edge proxy of the tier, by number
+  std::vector<net::Address> peers;  // of each edge proxy of the fleet, by its number
   std::uint64_t seed = 0;
   std::uint32_t memory_mb = 192;
   std::uint32_t sockets = 256;
   instance::InstanceSettings instance;
-  std::vector<std::string> class_names;  // their names, in order
+  std::vector<std::string> class_names;  // by class number
   std::vector<std::string> kind_names;
   double connect_timeout_s = 0.5;
   std::uint32_t max_open_calls = 20000;
   std::vector<TopologyEvent> known_servers;
-  std::uint64_t list_offset = 0;  // number of the last event known
+  std::uint64_t list_offset = 0;  // number of the last event in known_servers
 };
 
 Config parse_config(const std::string& text);
-// The event bus's address alone, as a replaced file tells it.
+// Returns only the event bus's address, for a reload of the configuration file.
 net::Address parse_bus_address(const std::string& text);
 
 }  // namespace mintrock::platform
--- a/tests/platform/caller_codec_test.cpp
+++ b/tests/platform/caller_codec_test.cpp
@@ -11,13 +11,13 @@
 
 using Parameters = std::vector<std::pair<Parameter, std::string>>;
 
-std::string setup_bytes(std::uint64_t id, const Parameters& more = {}) {
+std::string setup_bytes(std::uint64_t id, const Parameters& overrides = {}) {
   Parameters parameters{{Parameter::kClass, "voice"},
                         {Parameter::kTimeLeft, "1500"},
                         {Parameter::kCalledNumber, "7f3a9c21e0b4d655"},
                         {Parameter::kAttributes, "dest:2;width:1;via:-1"},
                         {Parameter::kDescription, "m=audio\r\n"}};
-  for (const auto& [code, value] : more) {
+  for (const auto& [code, value] : overrides) {
     bool replaced = false;
     for (auto& each : parameters) {
       if (each.first != code) continue;
@@ -29,28 +29,28 @@
   return write_message(CallerMessageType::kSetup, id, parameters);
 }
 
-std::optional<CallSetup> read(const std::string& bytes, std::string& why) {
-  MessageParser cutter;
-  cutter.feed(bytes);
-  const auto message = cutter.next();
-  const char* fault = cutter.fault();
+std::optional<CallSetup> read(const std::string& bytes, std::string& fault_name) {
+  MessageParser parser;
+  parser.feed(bytes);
+  const auto message = parser.next();
+  const char* fault = parser.fault();
   std::optional<CallSetup> setup;
   if (message) setup = read_setup(*message, fault);
-  why = fault == nullptr ? "" : fault;
+  fault_name = fault == nullptr ? "" : fault;
   return setup;
 }
 
-TEST(CallerCodec, ReadsASetupInPiecesOfAnySize) {
+TEST(CallerCodec, ParsesASetupSplitAtAnySize) {
   const std::string bytes = setup_bytes(0x9b1f03aa5c7e2d41, {{Parameter::kRedial, "1"}});
   for (std::size_t piece = 1; piece <= bytes.size(); ++piece) {
-    MessageParser cutter;
+    MessageParser parser;
     std::optional<CallSetup> setup;
     for (std::size_t at = 0; at < bytes.size(); at += piece) {
       EXPECT_FALSE(setup);
-      cutter.feed(std::string_view(bytes).substr(at, piece));
-      if (const auto message = cutter.next()) {
-        const char* why = nullptr;
-        setup = read_setup(*message, why);
+      parser.feed(std::string_view(bytes).substr(at, piece));
+      if (const auto message = parser.next()) {
+        const char* fault_name = nullptr;
+        setup = read_setup(*message, fault_name);
       }
     }
     ASSERT_TRUE(setup) << piece;
@@ -64,24 +64,24 @@
     EXPECT_TRUE(setup->redialled);
     EXPECT_FALSE(setup->was_cut);
     EXPECT_EQ(setup->description, "m=audio\r\n");
-    EXPECT_FALSE(cutter.next());
-    EXPECT_FALSE(cutter.partial());
+    EXPECT_FALSE(parser.next());
+    EXPECT_FALSE(parser.partial());
   }
 }
 
-TEST(CallerCodec, ReadsWhatACutOrStandingCallBrings) {
-  std::string why;
-  auto setup = read(setup_bytes(5, {{Parameter::kAttributes, "dest:0;width:1;again:1"}}), why);
+TEST(CallerCodec, ParsesSetupsOfCutAndEstablishedCalls) {
+  std::string fault_name;
+  auto setup = read(setup_bytes(5, {{Parameter::kAttributes, "dest:0;width:1;again:1"}}), fault_name);
   ASSERT_TRUE(setup);
   EXPECT_TRUE(setup->was_cut);
-  setup =
-      read(setup_bytes(5, {{Parameter::kAttributes, "at:s-00c41f7a"}, {Parameter::kDescription, ""}}), why);
-  ASSERT_TRUE(setup) << why;
+  setup = read(setup_bytes(5, {{Parameter::kAttributes, "at:s-00c41f7a"}, {Parameter::kDescription, ""}}),
+               fault_name);
+  ASSERT_TRUE(setup) << fault_name;
   EXPECT_EQ(setup->established_server, "s-00c41f7a");
 }
 
-// What bad clients send: each is named, none is taken.
-TEST(CallerCodec, EveryUnusableSetupHasAName) {
+// Malformed set-ups of misbehaving clients are all rejected with a named fault.
+TEST(CallerCodec, InvalidSetupsAreRejectedWithANamedFault) {
   const Parameters bad[] = {{{Parameter::kTimeLeft, "soon"}},
                             {{Parameter::kTimeLeft, "nan"}},
                             {{Parameter::kTimeLeft, "inf"}},
@@ -107,84 +107,84 @@
                             {{Parameter::kClass, "vo\xc0"}},
                             {{Parameter::kCalledNumber, std::string(300, '7')}}};
   for (const Parameters& each : bad) {
-    std::string why;
-    EXPECT_FALSE(read(setup_bytes(5, each), why)) << each[0].second;
-    EXPECT_FALSE(why.empty()) << each[0].second;
+    std::string fault_name;
+    EXPECT_FALSE(read(setup_bytes(5, each), fault_name)) << each[0].second;
+    EXPECT_FALSE(fault_name.empty()) << each[0].second;
   }
-  std::string why;
-  EXPECT_FALSE(read(setup_bytes(0), why));
-  EXPECT_EQ(why, "no id");
+  std::string fault_name;
+  EXPECT_FALSE(read(setup_bytes(0), fault_name));
+  EXPECT_EQ(fault_name, "missing call id");
   EXPECT_FALSE(
       read(write_message(CallerMessageType::kSetup, 5, {{Parameter::kClass, "a"}, {Parameter::kClass, "b"}}),
-           why));
-  EXPECT_EQ(why, "a parameter comes twice");
+           fault_name));
+  EXPECT_EQ(fault_name, "duplicate parameter");
 }
 
-TEST(CallerCodec, EveryBrokenFrameHasAName) {
+TEST(CallerCodec, MalformedFramesAreRejectedWithANamedFault) {
   const std::pair<std::string, const char*> bad[] = {
       {std::string("\0\0\1", 3), "length too small"},
       {std::string("\0\10\1", 3), "length too small"},
       {std::string("\xff\xff", 2), "length too large"},
       {std::string("\x3f\xff", 2), "length too large"},
-      {std::string("\0\13\1\0\0\0\0\0\0\0\5\3\0", 13), "a parameter ends inside its length"},
-      {std::string("\0\14\1\0\0\0\0\0\0\0\5\3\0\7", 14), "a parameter is longer than its message"},
-      {std::string("\0\14\1\0\0\0\0\0\0\0\5\3\xff\xff", 14), "a parameter is longer than its message"}};
+      {std::string("\0\13\1\0\0\0\0\0\0\0\5\3\0", 13), "truncated parameter header"},
+      {std::string("\0\14\1\0\0\0\0\0\0\0\5\3\0\7", 14), "parameter exceeds its message"},
+      {std::string("\0\14\1\0\0\0\0\0\0\0\5\3\xff\xff", 14), "parameter exceeds its message"}};
   for (const auto& [bytes, name] : bad) {
-    MessageParser cutter;
-    cutter.feed(bytes);
-    EXPECT_FALSE(cutter.next());
-    ASSERT_NE(cutter.fault(), nullptr) << name;
-    EXPECT_STREQ(cutter.fault(), name);
-    cutter.feed(setup_bytes(5));
-    EXPECT_FALSE(cutter.next()) << "after a fault nothing is read";
+    MessageParser parser;
+    parser.feed(bytes);
+    EXPECT_FALSE(parser.next());
+    ASSERT_NE(parser.fault(), nullptr) << name;
+    EXPECT_STREQ(parser.fault(), name);
+    parser.feed(setup_bytes(5));
+    EXPECT_FALSE(parser.next()) << "nothing is parsed after a fault";
   }
 }
 
-// Guards against a length that makes the proxy wait for, and keep, more than a message.
-TEST(CallerCodec, NoiseNeverMakesItHoldMoreThanAMessage) {
+// Guards against a corrupt length that makes the proxy wait for and buffer more than one message.
+TEST(CallerCodec, CorruptBytesNeverMakeItBufferMoreThanOneMessage) {
   std::mt19937_64 random(7);
   for (int run = 0; run < 2000; ++run) {
-    MessageParser cutter;
+    MessageParser parser;
     std::string bytes = setup_bytes(random());
     for (int i = 0; i < 3; ++i) bytes[random() % bytes.size()] = static_cast<char>(random());
-    cutter.feed(bytes + bytes);
+    parser.feed(bytes + bytes);
     for (int i = 0; i < 10; ++i) {
-      const auto message = cutter.next();
+      const auto message = parser.next();
       if (!message) break;
-      const char* why = nullptr;
-      read_setup(*message, why);
+      const char* fault_name = nullptr;
+      read_setup(*message, fault_name);
     }
   }
 }
 
-TEST(CallerCodec, WritesWhatItReads) {
-  MessageParser cutter;
-  cutter.feed(write_answer(7, "v=0") + write_release(8, kCauseCongestion, 250) + write_release(9, 41) +
+TEST(CallerCodec, ParsesWrittenMessages) {
+  MessageParser parser;
+  parser.feed(write_answer(7, "v=0") + write_release(8, kCauseCongestion, 250) + write_release(9, 41) +
               write_test_passed(10, true) + write_released(11));
-  auto message = cutter.next();
+  auto message = parser.next();
   ASSERT_TRUE(message);
   EXPECT_EQ(message->type, 9);
   EXPECT_EQ(message->find(Parameter::kDescription), "v=0");
-  message = cutter.next();
+  message = parser.next();
   ASSERT_TRUE(message);
   EXPECT_EQ(message->type, 12);
   EXPECT_EQ(message->call, 8u);
   EXPECT_EQ(message->find(Parameter::kRetryAfter), "250");
   EXPECT_EQ(read_cause(*message), 42);
-  message = cutter.next();
+  message = parser.next();
   ASSERT_TRUE(message);
   EXPECT_TRUE(message->find(Parameter::kRetryAfter).empty());
   EXPECT_EQ(read_cause(*message), 41);
-  message = cutter.next();
+  message = parser.next();
   ASSERT_TRUE(message);
   EXPECT_EQ(message->type, 53);
   EXPECT_EQ(read_cause(*message), 1);
-  message = cutter.next();
+  message = parser.next();
   ASSERT_TRUE(message);
   EXPECT_EQ(message->type, 16);
 }
 
-TEST(CallerCodec, IdsAreSixteenHexDigits) {
+TEST(CallerCodec, IdsHaveSixteenHexDigits) {
   EXPECT_EQ(hex_id(0x9b1f03aa5c7e2d41), "9b1f03aa5c7e2d41");
   EXPECT_EQ(hex_id(5), "0000000000000005");
   EXPECT_EQ(read_hex_id("9b1f03aa5c7e2d41"), 0x9b1f03aa5c7e2d41u);
--- a/tests/platform/caller_side_test.cpp
+++ b/tests/platform/caller_side_test.cpp
@@ -1,4 +1,4 @@
-// The callers' side against a scripted desk, at virtual times.
+// Tests the caller side with a scripted call manager and virtual time.
 #include "platform/caller_side.hpp"
 
 #include <gtest/gtest.h>
@@ -11,11 +11,11 @@
 namespace mintrock::platform {
 namespace {
 
-struct World : CallerSideDelegate {
+struct Fixture : CallerSideDelegate {
   void send_to_caller(ConnectionId to, std::string_view bytes) override {
-    MessageParser cutter;
-    cutter.feed(bytes);
-    const auto message = cutter.next();
+    MessageParser parser;
+    parser.feed(bytes);
+    const auto message = parser.next();
     ASSERT_TRUE(message);
     sent.push_back({to, message->type, message->call, read_cause(*message)});
   }
@@ -24,35 +24,35 @@
   const char* offer(CallSetup setup) override {
     if (setup.service_class == "none") return "unknown class";
     offered.push_back(setup.id);
-    if (answer_at_once) side.answer(setup.id, "v=0", 0);
+    if (answer_immediately) side.answer(setup.id, "v=0", 0);
     return nullptr;
   }
   const char* take_over(const CallSetup& setup) override {
-    taken.push_back(setup.established_server);
+    taken_over_from.push_back(setup.established_server);
     return nullptr;
   }
   bool hang_up(std::uint64_t id) override {
     hung_up.push_back(id);
-    return standing.erase(id) != 0;
+    return established.erase(id) != 0;
   }
   void caller_fault(ConnectionId, const char* what) override { faults.push_back(what); }
   void caller_closed(ConnectionId, CloseReason, std::size_t) override {}
   void end_reported(std::uint64_t, ConnectionId) override {}
 
   void setup(ConnectionId on, std::uint64_t id, double now, const char* service_class = "voice",
-             const char* figures = "dest:0", const char* description = "v=0") {
-    side.received(on, setup_bytes(id, service_class, figures, description), now);
+             const char* attributes = "dest:0", const char* description = "v=0") {
+    side.received(on, setup_bytes(id, service_class, attributes, description), now);
   }
   static std::string setup_bytes(std::uint64_t id, const char* service_class = "voice",
-                                 const char* figures = "dest:0", const char* description = "v=0") {
+                                 const char* attributes = "dest:0", const char* description = "v=0") {
     return write_message(CallerMessageType::kSetup, id,
                          {{Parameter::kClass, service_class},
                           {Parameter::kTimeLeft, "1500"},
-                          {Parameter::kAttributes, figures},
+                          {Parameter::kAttributes, attributes},
                           {Parameter::kDescription, description}});
   }
-  // A caller connects, and these calls of its stand.
-  void stand(ConnectionId on, std::initializer_list<std::uint64_t> ids, double now) {
+  // A caller connects and establishes these calls.
+  void establish(ConnectionId on, std::initializer_list<std::uint64_t> ids, double now) {
     side.opened(on, now);
     for (const std::uint64_t id : ids) {
       setup(on, id, now);
@@ -72,359 +72,360 @@
   std::vector<Sent> sent;
   std::set<ConnectionId> closed, unread;
   std::vector<std::uint64_t> offered, hung_up;
-  std::vector<std::string> taken, faults;
-  std::set<std::uint64_t> standing;
-  bool answer_at_once = false;
+  std::vector<std::string> taken_over_from, faults;
+  std::set<std::uint64_t> established;
+  bool answer_immediately = false;
   CallerSide side{*this};
 };
 
-TEST(CallerSide, AnAnswerGoesOnceToTheConnectionOfItsSetup) {
-  World w;
-  w.side.opened(1, 0);
-  w.side.opened(2, 0);
-  w.setup(1, 7, 0.1);
-  w.setup(2, 8, 0.1);
-  w.side.answer(7, "v=0", 0.2);
-  w.side.answer(7, "v=0", 0.2);
-  w.side.refuse(7, 42, 100, 0.2);
-  ASSERT_EQ(w.sent.size(), 1u);
-  EXPECT_EQ(w.sent[0].to, 1u);
-  EXPECT_EQ(w.sent[0].type, 9);
-  w.side.refuse(8, 42, {}, 0.3);
-  ASSERT_EQ(w.sent.size(), 2u);
-  EXPECT_EQ(w.sent[1].to, 2u);
-  EXPECT_EQ(w.sent[1].cause, 42);
-  EXPECT_EQ(w.side.open_setups(), 0u);
+TEST(CallerSide, AnswersASetupOnceOnItsConnection) {
+  Fixture f;
+  f.side.opened(1, 0);
+  f.side.opened(2, 0);
+  f.setup(1, 7, 0.1);
+  f.setup(2, 8, 0.1);
+  f.side.answer(7, "v=0", 0.2);
+  f.side.answer(7, "v=0", 0.2);
+  f.side.refuse(7, 42, 100, 0.2);
+  ASSERT_EQ(f.sent.size(), 1u);
+  EXPECT_EQ(f.sent[0].to, 1u);
+  EXPECT_EQ(f.sent[0].type, 9);
+  f.side.refuse(8, 42, {}, 0.3);
+  ASSERT_EQ(f.sent.size(), 2u);
+  EXPECT_EQ(f.sent[1].to, 2u);
+  EXPECT_EQ(f.sent[1].cause, 42);
+  EXPECT_EQ(f.side.open_setups(), 0u);
 }
 
-TEST(CallerSide, TheAnswerMayComeBeforeTheOfferReturns) {
-  World w;
-  w.answer_at_once = true;
-  w.side.opened(1, 0);
-  w.setup(1, 7, 0.1);
-  ASSERT_EQ(w.sent.size(), 1u);
-  EXPECT_EQ(w.side.open_setups(), 0u);
+TEST(CallerSide, AcceptsAnAnswerBeforeTheOfferReturns) {
+  Fixture f;
+  f.answer_immediately = true;
+  f.side.opened(1, 0);
+  f.setup(1, 7, 0.1);
+  ASSERT_EQ(f.sent.size(), 1u);
+  EXPECT_EQ(f.side.open_setups(), 0u);
 }
 
-TEST(CallerSide, AConnectionThatIsLostGivesItsSetupsUp) {
-  World w;
-  w.side.opened(1, 0);
-  w.setup(1, 7, 0.1);
-  w.setup(1, 8, 0.1);
-  w.side.lost(1, 0.2);
-  EXPECT_EQ(w.hung_up, (std::vector<std::uint64_t>{7, 8}));
-  w.side.answer(7, "v=0", 0.3);
-  EXPECT_TRUE(w.sent.empty());
-  EXPECT_EQ(w.side.connections(), 0u);
-  EXPECT_EQ(w.side.open_setups(), 0u);
+TEST(CallerSide, LostConnectionAbandonsItsSetups) {
+  Fixture f;
+  f.side.opened(1, 0);
+  f.setup(1, 7, 0.1);
+  f.setup(1, 8, 0.1);
+  f.side.lost(1, 0.2);
+  EXPECT_EQ(f.hung_up, (std::vector<std::uint64_t>{7, 8}));
+  f.side.answer(7, "v=0", 0.3);
+  EXPECT_TRUE(f.sent.empty());
+  EXPECT_EQ(f.side.connections(), 0u);
+  EXPECT_EQ(f.side.open_setups(), 0u);
 }
 
-TEST(CallerSide, ASetupThatIsGivenUpIsOwedNothing) {
-  World w;
-  w.side.opened(1, 0);
-  w.setup(1, 7, 0.1);
-  w.release(1, 7, 0.2);
-  EXPECT_EQ(w.hung_up, std::vector<std::uint64_t>{7});
-  w.side.refuse(7, 42, {}, 0.3);
-  EXPECT_TRUE(w.sent.empty());
+TEST(CallerSide, AbandonedSetupGetsNoAnswer) {
+  Fixture f;
+  f.side.opened(1, 0);
+  f.setup(1, 7, 0.1);
+  f.release(1, 7, 0.2);
+  EXPECT_EQ(f.hung_up, std::vector<std::uint64_t>{7});
+  f.side.refuse(7, 42, {}, 0.3);
+  EXPECT_TRUE(f.sent.empty());
 }
 
-// Guards against two answers under one id, and against serving either of the two.
-TEST(CallerSide, TheIdOfAnOpenSetupOnTheSameConnectionEndsBoth) {
-  World w;
-  w.side.opened(1, 0);
-  w.setup(1, 7, 0.1);
-  w.setup(1, 7, 0.1, "voice", "dest:0", "other");
-  EXPECT_EQ(w.hung_up, std::vector<std::uint64_t>{7});
-  w.side.answer(7, "v=0", 0.2);
-  ASSERT_EQ(w.sent.size(), 1u);
-  EXPECT_EQ(w.sent[0].type, 12);
-  EXPECT_EQ(w.sent[0].cause, kCauseInvalid);
+// Guards against two answers with the same id, and against serving either set-up.
+TEST(CallerSide, DuplicateIdOnTheSameConnectionEndsBothSetups) {
+  Fixture f;
+  f.side.opened(1, 0);
+  f.setup(1, 7, 0.1);
+  f.setup(1, 7, 0.1, "voice", "dest:0", "other");
+  EXPECT_EQ(f.hung_up, std::vector<std::uint64_t>{7});
+  f.side.answer(7, "v=0", 0.2);
+  ASSERT_EQ(f.sent.size(), 1u);
+  EXPECT_EQ(f.sent[0].type, 12);
+  EXPECT_EQ(f.sent[0].cause, kCauseInvalid);
 }
 
-TEST(CallerSide, TheIdOfAnothersOpenSetupDoesItNoHarm) {
-  World w;
-  w.side.opened(1, 0);
-  w.side.opened(2, 0);
-  w.setup(1, 7, 0.1);
-  w.setup(2, 7, 0.1, "voice", "dest:0", "other");
-  w.release(2, 7, 0.1);
-  EXPECT_TRUE(w.hung_up.empty());
-  for (const auto& each : w.sent) EXPECT_EQ(each.to, 2u);
-  EXPECT_FALSE(w.sent.empty());
-  w.side.answer(7, "v=0", 0.2);
-  EXPECT_EQ(w.sent.back().to, 1u);
-  EXPECT_EQ(w.sent.back().type, 9);
+TEST(CallerSide, DuplicateIdOnAnotherConnectionDoesNotAffectTheOpenSetup) {
+  Fixture f;
+  f.side.opened(1, 0);
+  f.side.opened(2, 0);
+  f.setup(1, 7, 0.1);
+  f.setup(2, 7, 0.1, "voice", "dest:0", "other");
+  f.release(2, 7, 0.1);
+  EXPECT_TRUE(f.hung_up.empty());
+  for (const auto& each : f.sent) EXPECT_EQ(each.to, 2u);
+  EXPECT_FALSE(f.sent.empty());
+  f.side.answer(7, "v=0", 0.2);
+  EXPECT_EQ(f.sent.back().to, 1u);
+  EXPECT_EQ(f.sent.back().type, 9);
 }
 
-TEST(CallerSide, WhatCantBeUsedIsAnsweredAndThreeOfThemClose) {
-  World w;
-  w.side.opened(1, 0);
-  w.setup(1, 7, 0.1, "none");
-  w.setup(1, 8, 0.1, "voice", "width:nan");
-  EXPECT_EQ(w.sent.size(), 2u);
-  EXPECT_TRUE(w.closed.empty());
-  w.setup(1, 9, 0.1, "none");
-  EXPECT_EQ(w.sent.size(), 3u);
-  EXPECT_EQ(w.closed.count(1), 1u);
-  EXPECT_EQ(w.side.open_setups(), 0u);
+TEST(CallerSide, InvalidSetupsAreAnsweredAndTheThirdClosesTheConnection) {
+  Fixture f;
+  f.side.opened(1, 0);
+  f.setup(1, 7, 0.1, "none");
+  f.setup(1, 8, 0.1, "voice", "width:nan");
+  EXPECT_EQ(f.sent.size(), 2u);
+  EXPECT_TRUE(f.closed.empty());
+  f.setup(1, 9, 0.1, "none");
+  EXPECT_EQ(f.sent.size(), 3u);
+  EXPECT_EQ(f.closed.count(1), 1u);
+  EXPECT_EQ(f.side.open_setups(), 0u);
 }
 
-TEST(CallerSide, WhatCantBeReadCloses) {
-  World w;
-  w.side.opened(1, 0);
-  w.setup(1, 7, 0.1);
-  w.side.received(1, std::string("\xff\xff\x01", 3), 0.2);
-  EXPECT_EQ(w.closed.count(1), 1u);
-  EXPECT_EQ(w.hung_up, std::vector<std::uint64_t>{7});
+TEST(CallerSide, MalformedFrameClosesTheConnection) {
+  Fixture f;
+  f.side.opened(1, 0);
+  f.setup(1, 7, 0.1);
+  f.side.received(1, std::string("\xff\xff\x01", 3), 0.2);
+  EXPECT_EQ(f.closed.count(1), 1u);
+  EXPECT_EQ(f.hung_up, std::vector<std::uint64_t>{7});
 }
 
-// A bad client is owed a refusal, an error or a close within 3 s.
-TEST(CallerSide, SilentHalfAndWithdrawnConnectionsAreClosedWithinTheirTime) {
-  World w;
-  w.side.opened(1, 0);
-  w.side.opened(2, 0);
-  w.side.received(2, std::string("\0\x40\x01", 3), 0.1);
-  w.side.opened(3, 0);
-  for (std::uint64_t id = 100; id < 400; ++id) w.setup(3, id, 0.1);
-  for (std::uint64_t id = 100; id < 400; ++id) w.release(3, id, 0.2);
-  w.side.opened(4, 0);
-  w.release(4, 999, 0.1);  // an id that nobody knows
-  w.side.tick(2.5);
-  EXPECT_EQ(w.closed, (std::set<ConnectionId>{1, 2, 3, 4}));
-  EXPECT_EQ(w.side.connections(), 0u);
+// A misbehaving client must get a refusal, an error or a close within 3 s.
+TEST(CallerSide, ConnectionsWithoutAValidSetupAreClosedInTime) {
+  Fixture f;
+  f.side.opened(1, 0);
+  f.side.opened(2, 0);
+  f.side.received(2, std::string("\0\x40\x01", 3), 0.1);
+  f.side.opened(3, 0);
+  for (std::uint64_t id = 100; id < 400; ++id) f.setup(3, id, 0.1);
+  for (std::uint64_t id = 100; id < 400; ++id) f.release(3, id, 0.2);
+  f.side.opened(4, 0);
+  f.release(4, 999, 0.1);  // unknown id
+  f.side.tick(2.5);
+  EXPECT_EQ(f.closed, (std::set<ConnectionId>{1, 2, 3, 4}));
+  EXPECT_EQ(f.side.connections(), 0u);
 }
 
-TEST(CallerSide, AnOpenSetupKeepsItsConnection) {
-  World w;
-  w.side.opened(1, 0);
-  w.setup(1, 7, 0.1);
-  w.side.tick(100);
-  EXPECT_TRUE(w.closed.empty());
-  w.side.refuse(7, 42, 100, 100);
-  w.side.tick(105);
-  EXPECT_TRUE(w.closed.empty());
-  w.side.tick(106.5);
-  EXPECT_EQ(w.closed.count(1), 1u);
+TEST(CallerSide, ConnectionWithAnOpenSetupIsNotClosed) {
+  Fixture f;
+  f.side.opened(1, 0);
+  f.setup(1, 7, 0.1);
+  f.side.tick(100);
+  EXPECT_TRUE(f.closed.empty());
+  f.side.refuse(7, 42, 100, 100);
+  f.side.tick(105);
+  EXPECT_TRUE(f.closed.empty());
+  f.side.tick(106.5);
+  EXPECT_EQ(f.closed.count(1), 1u);
 }
 
-// It may be the last one that the call's end can be told on.
-TEST(CallerSide, ACallThatStandsKeepsItsConnectionUntilItsEndIsTold) {
-  World w;
-  w.stand(1, {7, 8}, 0.1);
-  w.standing = {8};
-  w.side.tick(1000);
-  EXPECT_TRUE(w.closed.empty());
-  w.side.report_end(7, 16, 1000);
-  EXPECT_EQ(w.sent.back().to, 1u);
-  EXPECT_EQ(w.sent.back().call, 7u);
-  w.side.tick(2000);
-  EXPECT_TRUE(w.closed.empty()) << "the other one stands";
-  w.release(1, 8, 2000);
-  w.side.tick(2005);
-  EXPECT_TRUE(w.closed.empty());
-  w.side.tick(2006.5);
-  EXPECT_EQ(w.closed.count(1), 1u);
-  EXPECT_EQ(w.side.established(), 0u);
+// The connection may be the last one that the end of its call can be reported on.
+TEST(CallerSide, ConnectionWithAnEstablishedCallIsNotClosedBeforeItsEnd) {
+  Fixture f;
+  f.establish(1, {7, 8}, 0.1);
+  f.established = {8};
+  f.side.tick(1000);
+  EXPECT_TRUE(f.closed.empty());
+  f.side.report_end(7, 16, 1000);
+  EXPECT_EQ(f.sent.back().to, 1u);
+  EXPECT_EQ(f.sent.back().call, 7u);
+  f.side.tick(2000);
+  EXPECT_TRUE(f.closed.empty()) << "the other call is still established";
+  f.release(1, 8, 2000);
+  f.side.tick(2005);
+  EXPECT_TRUE(f.closed.empty());
+  f.side.tick(2006.5);
+  EXPECT_EQ(f.closed.count(1), 1u);
+  EXPECT_EQ(f.side.established(), 0u);
 }
 
-// Named anew after the proxy's restart, or when its caller connects again, a call moves to that connection.
-TEST(CallerSide, AnEndIsToldOnTheConnectionOfItsCallElseOnAnother) {
-  World w;
-  w.stand(1, {7, 8, 10}, 0.1);
-  w.stand(2, {9}, 0.3);
-  w.side.report_end(7, 16, 0.5);
-  EXPECT_EQ(w.sent.back().to, 1u) << "not where one was served last";
-  w.setup(2, 10, 0.5, "voice", "at:s-1");
-  w.side.report_end(10, 16, 0.5);
-  EXPECT_EQ(w.sent.back().to, 2u);
-  w.side.lost(1, 0.6);
-  w.side.report_end(8, 16, 0.7);
-  EXPECT_EQ(w.sent.back().to, 2u);
-  EXPECT_EQ(w.side.established(), 1u);
+// A call that its caller announces again, after a restart of the proxy or on a new connection, moves to that
+// connection.
+TEST(CallerSide, EndIsReportedOnTheConnectionOfItsCallOrOnAnother) {
+  Fixture f;
+  f.establish(1, {7, 8, 10}, 0.1);
+  f.establish(2, {9}, 0.3);
+  f.side.report_end(7, 16, 0.5);
+  EXPECT_EQ(f.sent.back().to, 1u) << "not on the connection that was answered last";
+  f.setup(2, 10, 0.5, "voice", "at:s-1");
+  f.side.report_end(10, 16, 0.5);
+  EXPECT_EQ(f.sent.back().to, 2u);
+  f.side.lost(1, 0.6);
+  f.side.report_end(8, 16, 0.7);
+  EXPECT_EQ(f.sent.back().to, 2u);
+  EXPECT_EQ(f.side.established(), 1u);
 }
 
-// Soak, seed 3: an end was written to a connection that its caller had just closed, and told nobody.
-TEST(CallerSide, AnEndThatMayBeLostWithItsConnectionIsToldAgain) {
-  World w;
-  w.stand(1, {7, 8, 9}, 0.1);
-  w.stand(2, {10}, 0.1);
-  w.side.report_end(7, 16, 0.2);  // long enough ago
-  w.side.report_end(8, 16, 1.3);
-  w.side.report_end(9, 41, 1.4);
-  w.side.received(1, write_released(9), 1.45);  // heard
-  w.sent.clear();
-  w.side.lost(1, 1.5);
-  ASSERT_EQ(w.sent.size(), 1u);
-  EXPECT_EQ(w.sent[0].to, 2u);
-  EXPECT_EQ(w.sent[0].call, 8u);
-  EXPECT_EQ(w.sent[0].cause, 16);
-  w.side.lost(2, 1.6);
-  EXPECT_EQ(w.side.unsent_ends(), 1u) << "and again, with that one";
-  w.side.opened(3, 2);
-  w.setup(3, 11, 2);
-  EXPECT_EQ(w.sent.back().to, 3u);
-  EXPECT_EQ(w.sent.back().call, 8u);
+// Soak, seed 3: an end was written to a connection that its caller had just closed, so nobody received it.
+TEST(CallerSide, EndThatMayBeLostWithItsConnectionIsResent) {
+  Fixture f;
+  f.establish(1, {7, 8, 9}, 0.1);
+  f.establish(2, {10}, 0.1);
+  f.side.report_end(7, 16, 0.2);  // too long before the loss to be resent
+  f.side.report_end(8, 16, 1.3);
+  f.side.report_end(9, 41, 1.4);
+  f.side.received(1, write_released(9), 1.45);  // acknowledged
+  f.sent.clear();
+  f.side.lost(1, 1.5);
+  ASSERT_EQ(f.sent.size(), 1u);
+  EXPECT_EQ(f.sent[0].to, 2u);
+  EXPECT_EQ(f.sent[0].call, 8u);
+  EXPECT_EQ(f.sent[0].cause, 16);
+  f.side.lost(2, 1.6);
+  EXPECT_EQ(f.side.unsent_ends(), 1u) << "queued again after the loss of that connection too";
+  f.side.opened(3, 2);
+  f.setup(3, 11, 2);
+  EXPECT_EQ(f.sent.back().to, 3u);
+  EXPECT_EQ(f.sent.back().call, 8u);
 }
 
-// What has arrived on a connection is read before it is closed, for its time or for room.
-TEST(CallerSide, AConnectionWithUnreadBytesIsNotClosedYet) {
-  World w;
-  w.stand(1, {}, 0);
-  w.stand(2, {}, 0.1);
-  w.unread = {1};
-  EXPECT_EQ(w.side.eviction_candidate(), 2u);
-  w.unread = {1, 2};
-  EXPECT_EQ(w.side.eviction_candidate(), 0u);
-  w.unread = {1};
-  w.side.tick(2.05);  // it has said nothing for its time
-  EXPECT_TRUE(w.closed.empty());
-  w.setup(1, 7, 2.051);
-  w.side.tick(2.3);
-  EXPECT_EQ(w.closed, std::set<ConnectionId>{2});
-  w.side.answer(7, "v=0", 2.4);
-  w.side.report_end(7, 16, 2.5);
-  w.unread = {1};
-  for (double now = 8.5; now < 9; now += 0.01) w.side.tick(now);
-  EXPECT_EQ(w.closed.count(1), 1u) << "a trickle need not end";
+// Bytes that have arrived on a connection are read before it is closed for a timeout or evicted.
+TEST(CallerSide, ConnectionWithUnreadBytesIsNotClosedYet) {
+  Fixture f;
+  f.establish(1, {}, 0);
+  f.establish(2, {}, 0.1);
+  f.unread = {1};
+  EXPECT_EQ(f.side.eviction_candidate(), 2u);
+  f.unread = {1, 2};
+  EXPECT_EQ(f.side.eviction_candidate(), 0u);
+  f.unread = {1};
+  f.side.tick(2.05);  // nothing was received before the timeout
+  EXPECT_TRUE(f.closed.empty());
+  f.setup(1, 7, 2.051);
+  f.side.tick(2.3);
+  EXPECT_EQ(f.closed, std::set<ConnectionId>{2});
+  f.side.answer(7, "v=0", 2.4);
+  f.side.report_end(7, 16, 2.5);
+  f.unread = {1};
+  for (double now = 8.5; now < 9; now += 0.01) f.side.tick(now);
+  EXPECT_EQ(f.closed.count(1), 1u) << "the delays are bounded";
 }
 
-TEST(CallerSide, EndsAreToldWhereCallsWereServedOrKept) {
-  World w;
-  w.side.opened(1, 0);  // silent: may be anybody
-  w.side.report_end(50, 16, 0.5);
-  EXPECT_TRUE(w.sent.empty());
-  EXPECT_EQ(w.side.unsent_ends(), 1u);
-  w.side.opened(2, 1);
-  w.setup(2, 7, 1);
-  ASSERT_EQ(w.sent.size(), 1u);
-  EXPECT_EQ(w.sent[0].to, 2u);
-  EXPECT_EQ(w.sent[0].call, 50u);
-  w.side.opened(3, 1);
-  w.setup(3, 8, 1);
-  w.side.answer(8, "v=0", 1.1);
-  w.setup(2, 9, 1.2);
-  w.side.report_end(51, 41, 1.3);
-  EXPECT_EQ(w.sent.back().to, 3u) << "where one was served";
-  w.side.lost(3, 1.4);
-  w.side.report_end(52, 16, 1.5);
-  EXPECT_EQ(w.sent.back().to, 2u);
-  EXPECT_EQ(w.side.unsent_ends(), 0u);
+TEST(CallerSide, EndsAreReportedWhereCallsWereAnsweredOrQueued) {
+  Fixture f;
+  f.side.opened(1, 0);  // silent: may not belong to a caller
+  f.side.report_end(50, 16, 0.5);
+  EXPECT_TRUE(f.sent.empty());
+  EXPECT_EQ(f.side.unsent_ends(), 1u);
+  f.side.opened(2, 1);
+  f.setup(2, 7, 1);
+  ASSERT_EQ(f.sent.size(), 1u);
+  EXPECT_EQ(f.sent[0].to, 2u);
+  EXPECT_EQ(f.sent[0].call, 50u);
+  f.side.opened(3, 1);
+  f.setup(3, 8, 1);
+  f.side.answer(8, "v=0", 1.1);
+  f.setup(2, 9, 1.2);
+  f.side.report_end(51, 41, 1.3);
+  EXPECT_EQ(f.sent.back().to, 3u) << "where a call was answered";
+  f.side.lost(3, 1.4);
+  f.side.report_end(52, 16, 1.5);
+  EXPECT_EQ(f.sent.back().to, 2u);
+  EXPECT_EQ(f.side.unsent_ends(), 0u);
 }
 
-TEST(CallerSide, KeptEndsAreForgottenAfterTheirTime) {
-  World w;
-  for (std::uint64_t id = 1; id <= 10000; ++id) w.side.report_end(id, 16, 0);
-  EXPECT_LE(w.side.unsent_ends(), 4096u);
-  w.side.tick(8.1);
-  EXPECT_EQ(w.side.unsent_ends(), 0u);
+TEST(CallerSide, QueuedEndsExpire) {
+  Fixture f;
+  for (std::uint64_t id = 1; id <= 10000; ++id) f.side.report_end(id, 16, 0);
+  EXPECT_LE(f.side.unsent_ends(), 4096u);
+  f.side.tick(8.1);
+  EXPECT_EQ(f.side.unsent_ends(), 0u);
 }
 
-TEST(CallerSide, ATestIsPassedAndAReleaseOfAStandingCallHeard) {
-  World w;
-  w.side.opened(1, 0);
-  w.side.received(1, write_message(CallerMessageType::kTest, 77, {}), 0.1);
-  ASSERT_EQ(w.sent.size(), 1u);
-  EXPECT_EQ(w.sent[0].type, 53);
-  EXPECT_EQ(w.sent[0].cause, 1);
-  w.standing.insert(7);
-  w.release(1, 7, 0.2);
-  EXPECT_EQ(w.sent.back().type, 16);
+TEST(CallerSide, AnswersTestsAndReleasesOfEstablishedCalls) {
+  Fixture f;
+  f.side.opened(1, 0);
+  f.side.received(1, write_message(CallerMessageType::kTest, 77, {}), 0.1);
+  ASSERT_EQ(f.sent.size(), 1u);
+  EXPECT_EQ(f.sent[0].type, 53);
+  EXPECT_EQ(f.sent[0].cause, 1);
+  f.established.insert(7);
+  f.release(1, 7, 0.2);
+  EXPECT_EQ(f.sent.back().type, 16);
 }
 
-TEST(CallerSide, ACallThatStandsAlreadyIsTakenOverWithoutAnAnswer) {
-  World w;
-  w.side.opened(1, 0);
-  w.setup(1, 7, 0.1, "voice", "at:s-1");
-  EXPECT_EQ(w.taken, std::vector<std::string>{"s-1"});
-  EXPECT_TRUE(w.sent.empty());
-  EXPECT_EQ(w.side.open_setups(), 0u);
+TEST(CallerSide, EstablishedCallIsTakenOverWithoutAnAnswer) {
+  Fixture f;
+  f.side.opened(1, 0);
+  f.setup(1, 7, 0.1, "voice", "at:s-1");
+  EXPECT_EQ(f.taken_over_from, std::vector<std::string>{"s-1"});
+  EXPECT_TRUE(f.sent.empty());
+  EXPECT_EQ(f.side.open_setups(), 0u);
 }
 
-TEST(CallerSide, RoomIsMadeOfTheSilentFirstThenOfTheIdle) {
-  World w;
-  EXPECT_EQ(w.side.eviction_candidate(), 0u);
-  w.side.opened(1, 0);
-  w.setup(1, 7, 0.1);
-  EXPECT_EQ(w.side.eviction_candidate(), 0u) << "it has an open set-up";
-  w.side.opened(2, 0.2);
-  w.setup(2, 8, 0.2);
-  w.side.answer(8, "v=0", 0.3);
-  EXPECT_EQ(w.side.eviction_candidate(), 2u);
-  w.side.opened(3, 0.4);
-  w.side.opened(4, 0.5);
-  EXPECT_EQ(w.side.eviction_candidate(), 3u);
-  w.side.evict(3);
-  EXPECT_EQ(w.closed.count(3), 1u);
-  EXPECT_EQ(w.side.eviction_candidate(), 4u);
+TEST(CallerSide, EvictsSilentConnectionsBeforeIdleOnes) {
+  Fixture f;
+  EXPECT_EQ(f.side.eviction_candidate(), 0u);
+  f.side.opened(1, 0);
+  f.setup(1, 7, 0.1);
+  EXPECT_EQ(f.side.eviction_candidate(), 0u) << "it has an open set-up";
+  f.side.opened(2, 0.2);
+  f.setup(2, 8, 0.2);
+  f.side.answer(8, "v=0", 0.3);
+  EXPECT_EQ(f.side.eviction_candidate(), 2u);
+  f.side.opened(3, 0.4);
+  f.side.opened(4, 0.5);
+  EXPECT_EQ(f.side.eviction_candidate(), 3u);
+  f.side.evict(3);
+  EXPECT_EQ(f.closed.count(3), 1u);
+  EXPECT_EQ(f.side.eviction_candidate(), 4u);
 }
 
-// Every table after many connections and calls is as at the start.
+// All tables are empty again after many connections and calls.
 TEST(CallerSide, NothingIsLeftAfterChurn) {
-  World w;
+  Fixture f;
   for (std::uint64_t i = 1; i <= 20000; ++i) {
     const double now = static_cast<double>(i) * 0.01;
-    w.side.opened(i, now);
-    w.setup(i, i, now);
-    if (i % 3 == 0) w.side.answer(i, "v=0", now);
-    if (i % 3 == 1) w.side.refuse(i, 42, {}, now);
-    w.side.lost(i, now);
+    f.side.opened(i, now);
+    f.setup(i, i, now);
+    if (i % 3 == 0) f.side.answer(i, "v=0", now);
+    if (i % 3 == 1) f.side.refuse(i, 42, {}, now);
+    f.side.lost(i, now);
   }
-  EXPECT_EQ(w.side.connections(), 0u);
-  EXPECT_EQ(w.side.open_setups(), 0u);
-  EXPECT_GT(w.side.deadline(), 1e15);
+  EXPECT_EQ(f.side.connections(), 0u);
+  EXPECT_EQ(f.side.open_setups(), 0u);
+  EXPECT_GT(f.side.deadline(), 1e15);
 }
 
-// A set-up in pieces: what has begun to arrive is not idle, and a trickle is not for ever.
-TEST(CallerSide, AHalfArrivedSetupIsWaitedForWithinBounds) {
-  World w;
-  w.side.opened(1, 0);
-  w.setup(1, 7, 0.1);
-  w.side.refuse(7, 42, 100, 0.2);
-  const std::string bytes = World::setup_bytes(8);
-  w.side.received(1, bytes.substr(0, 5), 6.1);
-  w.side.tick(6.3);  // idle since 0.2
-  EXPECT_TRUE(w.closed.empty());
-  w.side.received(1, bytes.substr(5), 7);
-  EXPECT_EQ(w.offered, (std::vector<std::uint64_t>{7, 8}));
-  w.side.refuse(8, 42, 100, 7.1);
-  for (double now = 7.2; now < 20 && w.closed.empty(); now += 0.1) {
-    w.side.received(1, std::string("\0\x05\x06\0\0\0", 6), now);  // pieces of messages without end
-    w.side.tick(now);
+// A connection with a partly received set-up is not idle, but the wait for the rest is bounded.
+TEST(CallerSide, WaitsABoundedTimeForAPartlyReceivedSetup) {
+  Fixture f;
+  f.side.opened(1, 0);
+  f.setup(1, 7, 0.1);
+  f.side.refuse(7, 42, 100, 0.2);
+  const std::string bytes = Fixture::setup_bytes(8);
+  f.side.received(1, bytes.substr(0, 5), 6.1);
+  f.side.tick(6.3);  // idle since 0.2
+  EXPECT_TRUE(f.closed.empty());
+  f.side.received(1, bytes.substr(5), 7);
+  EXPECT_EQ(f.offered, (std::vector<std::uint64_t>{7, 8}));
+  f.side.refuse(8, 42, 100, 7.1);
+  for (double now = 7.2; now < 20 && f.closed.empty(); now += 0.1) {
+    f.side.received(1, std::string("\0\x05\x06\0\0\0", 6), now);  // parts of messages that never end
+    f.side.tick(now);
   }
-  EXPECT_EQ(w.closed.count(1), 1u);
+  EXPECT_EQ(f.closed.count(1), 1u);
 }
 
-TEST(CallerSide, RoomIsNotMadeOfAHalfArrivedSetupWhereAnotherIsFree) {
-  World w;
-  w.side.opened(1, 0);
-  w.side.received(1, World::setup_bytes(8).substr(0, 5), 0.1);
-  w.stand(2, {7}, 0.3);
-  EXPECT_EQ(w.side.eviction_candidate(), 2u) << "though its call stands";
+TEST(CallerSide, PartlyReceivedSetupIsEvictedLast) {
+  Fixture f;
+  f.side.opened(1, 0);
+  f.side.received(1, Fixture::setup_bytes(8).substr(0, 5), 0.1);
+  f.establish(2, {7}, 0.3);
+  EXPECT_EQ(f.side.eviction_candidate(), 2u) << "although its call is established";
 }
 
-// The process ends: whatever is owed comes first.
-TEST(CallerSide, LeavingClosesEachConnectionBehindItsLastAnswer) {
-  World w;
-  w.stand(1, {7}, 0);
-  w.side.opened(2, 0);
-  w.setup(2, 8, 0.1);  // open
-  w.side.opened(3, 0);
-  w.side.received(3, std::string("\0\x40\x01", 3), 4.9);  // half arrived
-  w.side.opened(4, 4.98);                                 // its set-up may lie unread
-  w.side.tick(1);
-  w.side.begin_shutdown();
-  w.side.tick(5);
-  EXPECT_EQ(w.closed, std::set<ConnectionId>{1});
-  w.side.tick(5.1);
-  EXPECT_EQ(w.closed, (std::set<ConnectionId>{1, 4}));
-  w.side.refuse(8, 41, {}, 5.2);
-  EXPECT_EQ(w.sent.back().to, 2u);
-  w.side.tick(5.2);
-  EXPECT_EQ(w.closed, (std::set<ConnectionId>{1, 2, 4}));
-  w.side.tick(6.95);
-  EXPECT_EQ(w.side.connections(), 0u);
-  EXPECT_EQ(w.side.established(), 0u);
+// At a shutdown pending answers are sent first.
+TEST(CallerSide, ShutdownClosesEachConnectionAfterItsLastAnswer) {
+  Fixture f;
+  f.establish(1, {7}, 0);
+  f.side.opened(2, 0);
+  f.setup(2, 8, 0.1);  // open
+  f.side.opened(3, 0);
+  f.side.received(3, std::string("\0\x40\x01", 3), 4.9);  // partly received
+  f.side.opened(4, 4.98);                                 // a set-up may be unread on it
+  f.side.tick(1);
+  f.side.begin_shutdown();
+  f.side.tick(5);
+  EXPECT_EQ(f.closed, std::set<ConnectionId>{1});
+  f.side.tick(5.1);
+  EXPECT_EQ(f.closed, (std::set<ConnectionId>{1, 4}));
+  f.side.refuse(8, 41, {}, 5.2);
+  EXPECT_EQ(f.sent.back().to, 2u);
+  f.side.tick(5.2);
+  EXPECT_EQ(f.closed, (std::set<ConnectionId>{1, 2, 4}));
+  f.side.tick(6.95);
+  EXPECT_EQ(f.side.connections(), 0u);
+  EXPECT_EQ(f.side.established(), 0u);
 }
 
 }  // namespace
--- a/tests/platform/config_test.cpp
+++ b/tests/platform/config_test.cpp
@@ -36,7 +36,7 @@
     "rules": {"fall_s": 2.0, "overload_factor": 3.0, "start_capacity": 0.28, "warm_up_s": 15.0},
     "skus": ["small", "big"], "tenants": []}})";
 
-TEST(PlatformConfig, IsRead) {
+TEST(PlatformConfig, ParsesAllValues) {
   const Config config = parse_config(kConfig);
   EXPECT_EQ(config.listen.str(), "127.0.0.1:2905");
   EXPECT_EQ(config.bus.str(), "127.0.0.1:8500");
@@ -60,37 +60,37 @@
   EXPECT_FALSE(s.asks_for_list);
 }
 
-// The simulator's text and the platform's JSON are the same settings: every key that either route reads.
-TEST(PlatformConfig, TellsTheSameAsTheSimulatorsText) {
-  const Settings& json_way = parse_config(kConfig).instance.settings;
-  const auto text_way = wire::parse_settings(std::string_view(
+// The simulator's text and the platform's JSON must yield the same settings for every key.
+TEST(PlatformConfig, YieldsTheSameSettingsAsTheSimulatorsText) {
+  const Settings& from_json = parse_config(kConfig).instance.settings;
+  const auto from_text = wire::parse_settings(std::string_view(
       "callers.marks_retry=true\nclasses.count=2\nclasses.0.deadline_s=3.09\nclasses.0.goal_time_s=0.42\n"
       "domain.skilled_pools.count=2\ndomain.skilled_pools.0=0,1\ndomain.skilled_pools.1=1\n"
       "rules.start_capacity=0.28\nfleet_size=3\nload_info.fields=spare,total,mean_ms,allowed\n"));
-  EXPECT_EQ(json_way.classes[0].nodes, text_way.settings.classes[0].nodes);
-  EXPECT_EQ(json_way.classes[1].nodes, text_way.settings.classes[1].nodes);
-  EXPECT_EQ(json_way.classes[0].deadline_s, text_way.settings.classes[0].deadline_s);
-  EXPECT_EQ(json_way.start_capacity, text_way.settings.start_capacity);
-  EXPECT_EQ(json_way.fleet_size, text_way.settings.fleet_size);
-  EXPECT_EQ(parse_config(kConfig).instance.report_fields, text_way.report_fields);
+  EXPECT_EQ(from_json.classes[0].nodes, from_text.settings.classes[0].nodes);
+  EXPECT_EQ(from_json.classes[1].nodes, from_text.settings.classes[1].nodes);
+  EXPECT_EQ(from_json.classes[0].deadline_s, from_text.settings.classes[0].deadline_s);
+  EXPECT_EQ(from_json.start_capacity, from_text.settings.start_capacity);
+  EXPECT_EQ(from_json.fleet_size, from_text.settings.fleet_size);
+  EXPECT_EQ(parse_config(kConfig).instance.report_fields, from_text.report_fields);
 }
 
-TEST(PlatformConfig, KnownServersAreReadAndBrokenOnesNamed) {
+TEST(PlatformConfig, ParsesKnownServersAndReportsMalformedOnes) {
   const Config config = parse_config(kConfig);
   EXPECT_EQ(config.list_offset, 4u);
   ASSERT_EQ(config.known_servers.size(), 1u);
-  const list::Update& news = config.known_servers[0].news;
-  EXPECT_TRUE(news.full);
-  ASSERT_EQ(news.entries.size(), 2u);
-  EXPECT_EQ(news.entries[0].identity, "s-1");
-  EXPECT_EQ(news.entries[0].kind, 1u);
-  EXPECT_EQ(news.entries[0].node, 1u);
-  EXPECT_EQ(news.entries[1].state, ServerEntry::State::kDraining);
-  EXPECT_DOUBLE_EQ(news.entries[1].started_at, 1764590000.5);
-  EXPECT_EQ(news.errors.size(), 1u);
+  const list::Update& update = config.known_servers[0].news;
+  EXPECT_TRUE(update.full);
+  ASSERT_EQ(update.entries.size(), 2u);
+  EXPECT_EQ(update.entries[0].identity, "s-1");
+  EXPECT_EQ(update.entries[0].kind, 1u);
+  EXPECT_EQ(update.entries[0].node, 1u);
+  EXPECT_EQ(update.entries[1].state, ServerEntry::State::kDraining);
+  EXPECT_DOUBLE_EQ(update.entries[1].started_at, 1764590000.5);
+  EXPECT_EQ(update.errors.size(), 1u);
 }
 
-TEST(PlatformConfig, NonsenseIsRefused) {
+TEST(PlatformConfig, RejectsInvalidConfigurations) {
   const json good = json::parse(kConfig);
   for (const char* key : {"bus", "known", "listen", "name", "seed", "settings"}) {
     json bad = good;
@@ -106,7 +106,7 @@
   EXPECT_EQ(parse_bus_address(R"({"bus":"127.0.0.1:8501"})").port, 8501);
 }
 
-TEST(Topology, EventsThatAreNoneAreRefused) {
+TEST(Topology, RejectsInvalidEvents) {
   for (const char* text : {"", "{", "{}", R"({"offset":1})", R"({"offset":"1","topology":{"hosts":[]}})",
                            R"({"offset":1,"topology":{"hosts":17}})"}) {
     EXPECT_THROW(parse_topology_event(text, {}), std::runtime_error) << text;
