--- a/src/fleet/gossip.cpp
+++ b/src/fleet/gossip.cpp
@@ -8,70 +8,71 @@
 namespace mintrock::fleet {
 namespace {
 
-constexpr std::uint32_t kLongestMs = 3600 * 1000;
+constexpr std::uint32_t kMaxMs = 3600 * 1000;
 
 std::uint32_t milliseconds(double seconds) {
-  if (!std::isfinite(seconds)) return kLongestMs;
-  return static_cast<std::uint32_t>(std::clamp(seconds * 1000, 0.0, double{kLongestMs}));
+  if (!std::isfinite(seconds)) return kMaxMs;
+  return static_cast<std::uint32_t>(std::clamp(seconds * 1000, 0.0, double{kMaxMs}));
 }
 
 }  // namespace
 
-std::string Writer::pack(const std::vector<Hearsay>& hearsay,
+std::string Writer::pack(const std::vector<Hearsay>& entries,
                          const std::function<std::string(ServerId)>& identity) {
-  v1::News news;
-  news.set_version(kVersion);
-  news.set_sender(own_);
-  news.set_boot(boot_);
-  news.set_sequence(++sequence_);
-  for (const Hearsay& each : hearsay) {
-    const std::string name = identity(each.server);
-    if (name.empty() || static_cast<std::size_t>(news.hearsay_size()) == kMaxEntries) continue;
-    v1::Hearsay& out = *news.add_hearsay();
+  v1::News message;
+  message.set_version(kVersion);
+  message.set_sender(own_number_);
+  message.set_boot(boot_);
+  message.set_sequence(++sequence_);
+  for (const Hearsay& entry : entries) {
+    const std::string name = identity(entry.server);
+    if (name.empty() || static_cast<std::size_t>(message.hearsay_size()) == kMaxEntries) continue;
+    v1::Hearsay& out = *message.add_hearsay();
     out.set_server(name);
-    out.set_wait_ms(milliseconds(each.wait_s));
-    out.set_age_ms(milliseconds(each.age_s));
-    if (news.ByteSizeLong() > kMaxDatagramBytes) {
-      news.mutable_hearsay()->RemoveLast();
+    out.set_wait_ms(milliseconds(entry.wait_s));
+    out.set_age_ms(milliseconds(entry.age_s));
+    if (message.ByteSizeLong() > kMaxDatagramBytes) {
+      message.mutable_hearsay()->RemoveLast();
       break;
     }
   }
-  return news.SerializeAsString();
+  return message.SerializeAsString();
 }
 
 std::optional<PeerNews> Reader::read(std::string_view bytes, std::uint32_t expected,
-                                     const std::function<ServerId(const std::string&)>& number,
-                                     std::string& why) {
-  v1::News news;
+                                     const std::function<ServerId(const std::string&)>& id_of,
+                                     std::string& error) {
+  v1::News message;
   if (bytes.size() > kMaxDatagramBytes ||
-      !news.ParseFromArray(bytes.data(), static_cast<int>(bytes.size()))) {
-    why = "no message of a proxy";
+      !message.ParseFromArray(bytes.data(), static_cast<int>(bytes.size()))) {
+    error = "malformed message";
     return std::nullopt;
   }
-  if (news.version() != kVersion) {
-    why = "version " + std::to_string(news.version());
+  if (message.version() != kVersion) {
+    error = "unsupported version " + std::to_string(message.version());
     return std::nullopt;
   }
-  if (news.sender() != expected || news.sender() == own_ || news.sender() >= fleet_size_) {
-    why = "says that it comes from proxy " + std::to_string(news.sender());
+  if (message.sender() != expected || message.sender() == own_number_ || message.sender() >= fleet_size_) {
+    error = "unexpected sender: proxy " + std::to_string(message.sender());
     return std::nullopt;
   }
-  if (static_cast<std::size_t>(news.hearsay_size()) > kMaxEntries) {
-    why = "too many servers";
+  if (static_cast<std::size_t>(message.hearsay_size()) > kMaxEntries) {
+    error = "too many servers";
     return std::nullopt;
   }
-  Seen& seen = seen_[news.sender()];
-  const bool newer = news.boot() > seen.boot || (news.boot() == seen.boot && news.sequence() > seen.sequence);
+  LastMessage& last = last_messages_[message.sender()];
+  const bool newer =
+      message.boot() > last.boot || (message.boot() == last.boot && message.sequence() > last.sequence);
   if (!newer) {
-    why = "doubled or overtaken";
+    error = "duplicate or older than the last message";
     return std::nullopt;
   }
-  seen = {news.boot(), news.sequence()};
+  last = {message.boot(), message.sequence()};
   PeerNews out;
-  for (const v1::Hearsay& each : news.hearsay()) {
-    const ServerId server = number(each.server());
-    if (server == 0 || each.wait_ms() > kLongestMs || each.age_ms() > kLongestMs) continue;
-    out.hearsay.push_back({server, each.wait_ms() / 1000.0, each.age_ms() / 1000.0});
+  for (const v1::Hearsay& entry : message.hearsay()) {
+    const ServerId server = id_of(entry.server());
+    if (server == 0 || entry.wait_ms() > kMaxMs || entry.age_ms() > kMaxMs) continue;
+    out.hearsay.push_back({server, entry.wait_ms() / 1000.0, entry.age_ms() / 1000.0});
   }
   return out;
 }
--- a/src/fleet/gossip.hpp
+++ b/src/fleet/gossip.hpp
@@ -1,6 +1,7 @@
-// Messages between proxies: protobuf datagrams, checked before they are believed.
+// Gossip between the proxies of a fleet: protobuf datagrams with the waits at core servers.
 //
-// Pure: bytes in, news out. No rule rests on what they say.
+// Pure: does no I/O and reads no clock. Messages are checked before they are used; no rule depends on their
+// content.
 #ifndef MINTROCK_SRC_FLEET_GOSSIP_HPP_
 #define MINTROCK_SRC_FLEET_GOSSIP_HPP_
 
@@ -16,41 +17,42 @@
 
 namespace mintrock::fleet {
 
-inline constexpr std::size_t kMaxDatagramBytes = 1400;  // of a datagram
-inline constexpr std::size_t kMaxEntries = 64;          // servers in one message
+inline constexpr std::size_t kMaxDatagramBytes = 1400;
+inline constexpr std::size_t kMaxEntries = 64;  // servers in one message
 inline constexpr std::uint32_t kVersion = 1;
 
-// Writes messages of one proxy.
+// Writes the messages of one proxy.
 class Writer {
  public:
-  Writer(std::uint32_t own_number, std::uint64_t boot) : own_(own_number), boot_(boot) {}
-  // `identity` names a server; those without a name, and what does not fit, are left out.
+  Writer(std::uint32_t own_number, std::uint64_t boot) : own_number_(own_number), boot_(boot) {}
+  // `identity` returns the name of a server. Servers without a name and entries that do not fit are omitted.
   std::string pack(const std::vector<Hearsay>& hearsay, const std::function<std::string(ServerId)>& identity);
 
  private:
-  std::uint32_t own_;
+  std::uint32_t own_number_;
   std::uint64_t boot_;
   std::uint64_t sequence_ = 0;
 };
 
-// Reads messages of the others. Keeps one state a sender: its boot and the newest sequence number.
+// Reads the messages of the other proxies. Keeps the boot and the latest sequence number of each sender.
 class Reader {
  public:
-  Reader(std::uint32_t own_number, std::uint32_t fleet_size) : own_(own_number), fleet_size_(fleet_size) {}
-  // `expected`: the number of the proxy whose address it came from. Nothing, with the reason in `why`, where
-  // the message is broken, of another version, not from the one it says, doubled or overtaken. Servers
-  // without a number here are left out.
+  Reader(std::uint32_t own_number, std::uint32_t fleet_size)
+      : own_number_(own_number), fleet_size_(fleet_size) {}
+  // `expected` is the number of the proxy that has the sender's address. Returns nullopt, with the reason in
+  // `error`, if the message is malformed, of another version, from a proxy other than it claims, a duplicate,
+  // or older than one already read. Servers for which `id_of` returns 0 are omitted.
   std::optional<PeerNews> read(std::string_view bytes, std::uint32_t expected,
-                               const std::function<ServerId(const std::string&)>& number, std::string& why);
+                               const std::function<ServerId(const std::string&)>& id_of, std::string& error);
 
  private:
-  struct Seen {
+  struct LastMessage {
     std::uint64_t boot = 0;
     std::uint64_t sequence = 0;
   };
-  std::uint32_t own_;
+  std::uint32_t own_number_;
   std::uint32_t fleet_size_;
-  std::map<std::uint32_t, Seen> seen_;
+  std::map<std::uint32_t, LastMessage> last_messages_;
 };
 
 }  // namespace mintrock::fleet
--- a/src/instance/bytes.cpp
+++ b/src/instance/bytes.cpp
@@ -10,21 +10,21 @@
   std::size_t i = 0;
   while (i < text.size()) {
     const auto lead = static_cast<unsigned char>(text[i]);
-    const std::size_t extra = lead < 0x80       ? 0
-                              : lead >> 5 == 6  ? 1
-                              : lead >> 4 == 14 ? 2
-                              : lead >> 3 == 30 ? 3
-                                                : 9;
-    if (extra == 9 || extra >= text.size() - i) return false;
-    std::uint32_t code = extra == 0 ? lead : lead & (0x3Fu >> extra);
-    for (std::size_t k = 1; k <= extra; ++k) {
+    const std::size_t continuations = lead < 0x80       ? 0
+                                      : lead >> 5 == 6  ? 1
+                                      : lead >> 4 == 14 ? 2
+                                      : lead >> 3 == 30 ? 3
+                                                        : 9;
+    if (continuations == 9 || continuations >= text.size() - i) return false;
+    std::uint32_t code = continuations == 0 ? lead : lead & (0x3Fu >> continuations);
+    for (std::size_t k = 1; k <= continuations; ++k) {
       const auto next = static_cast<unsigned char>(text[i + k]);
       if (next >> 6 != 2) return false;
       code = code << 6 | (next & 0x3Fu);
     }
-    constexpr std::uint32_t kLeast[] = {0, 0x80, 0x800, 0x10000};
-    if (code < kLeast[extra] || code > 0x10FFFF || (code >= 0xD800 && code < 0xE000)) return false;
-    i += extra + 1;
+    constexpr std::uint32_t kMinCode[] = {0, 0x80, 0x800, 0x10000};
+    if (code < kMinCode[continuations] || code > 0x10FFFF || (code >= 0xD800 && code < 0xE000)) return false;
+    i += continuations + 1;
   }
   return true;
 }
@@ -44,7 +44,7 @@
 }
 
 std::string_view Reader::bytes(std::size_t count) {
-  if (count > remaining()) throw FormatError("frame ends inside a record");
+  if (count > remaining()) throw FormatError("truncated record");
   const std::string_view part = data_.substr(at_, count);
   at_ += count;
   return part;
@@ -66,7 +66,7 @@
 
 bool Reader::boolean() {
   const std::uint8_t raw = u8();
-  if (raw > 1) throw FormatError("a truth value is neither 0 nor 1");
+  if (raw > 1) throw FormatError("boolean is neither 0 nor 1");
   return raw == 1;
 }
 
--- a/src/instance/bytes.hpp
+++ b/src/instance/bytes.hpp
@@ -1,4 +1,4 @@
-// Big-endian bytes, read and written: what the simulator's wire and the messages between proxies are made of.
+// Readers and writers of big-endian values, for the simulator's protocol and the messages between proxies.
 #ifndef MINTROCK_SRC_INSTANCE_BYTES_HPP_
 #define MINTROCK_SRC_INSTANCE_BYTES_HPP_
 
@@ -13,19 +13,20 @@
 
 namespace mintrock::instance {
 
-// Input that breaks its form, with a plain message.
+// Thrown on malformed input.
 class FormatError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
 
-// Rejects overlong forms, surrogates and values past U+10FFFF as well as broken sequences.
+// Rejects malformed sequences, overlong forms, surrogates and values above U+10FFFF.
 bool valid_utf8(std::string_view text);
 
-// A decimal number and nothing else; none for anything that is not finite.
+// Parses a text that is exactly one decimal number. Returns nullopt for anything else and for non-finite
+// values.
 std::optional<double> read_finite(std::string_view text);
 
-// Reads big-endian values from a buffer it does not own; reading past the end throws.
+// Reads big-endian values from a buffer that it does not own. Throws FormatError at the end of the buffer.
 class Reader {
  public:
   explicit Reader(std::string_view data) : data_(data) {}
@@ -46,6 +47,7 @@
   std::size_t at_ = 0;
 };
 
+// Appends big-endian values to a string.
 class Writer {
  public:
   void u8(std::uint8_t v) { bits(v, 1); }
@@ -62,7 +64,7 @@
   std::string out_;
 };
 
-// A server as four bytes of address and two of port, or of whatever else names it.
+// A server id takes six bytes: four of address and two of port, or another id of 48 bits.
 ServerId read_server(Reader& in);
 void write_server(Writer& out, ServerId server);
 
--- a/src/instance/gossip.hpp
+++ b/src/instance/gossip.hpp
@@ -1,5 +1,6 @@
-// The bytes of a message between proxies, within 256: version, number of entries, then for each the server,
-// the wait and its age in milliseconds. A message of another version or of a wrong length says nothing.
+// Encodes the gossip between proxies as messages of up to 256 bytes: the version, the number of entries, then
+// for each entry the server, its wait and the wait's age in milliseconds. A message of another version or
+// with a wrong length decodes to no entries.
 #ifndef MINTROCK_SRC_INSTANCE_GOSSIP_HPP_
 #define MINTROCK_SRC_INSTANCE_GOSSIP_HPP_
 
@@ -11,7 +12,7 @@
 
 namespace mintrock::instance {
 
-std::string pack_gossip(const std::vector<Hearsay>& hearsay);
+std::string pack_gossip(const std::vector<Hearsay>& entries);
 std::vector<Hearsay> unpack_gossip(std::string_view bytes);
 
 }  // namespace mintrock::instance
--- a/src/list/client.cpp
+++ b/src/list/client.cpp
@@ -31,14 +31,14 @@
 
 void Client::open() {
   if (stream_) return;
-  loop_.timers().cancel(std::exchange(retry_, 0));
+  loop_.timers().cancel(std::exchange(reconnect_timer_, 0));
   http_parser_init(&parser_, HTTP_RESPONSE);
   parser_.data = this;
   sse_.restart();
   try {
     stream_ = net::Stream::connect(loop_, server_, 1 << 20);
   } catch (const std::exception&) {
-    return failed("no descriptor is to be had");
+    return fail("no file descriptor available");
   }
   stream_->set({[this] {
                   std::string request = "GET " + path_ + " HTTP/1.1\r\nHost: " + server_.str() +
@@ -46,58 +46,58 @@
                   if (!sse_.last_id().empty()) request += "Last-Event-ID: " + sse_.last_id() + "\r\n";
                   stream_->write(request + "\r\n");
                 },
-                [this](std::string_view bytes) { received(bytes); },
-                [this](const std::string& why) { failed(why); }});
-  note_alive();
+                [this](std::string_view bytes) { on_bytes(bytes); },
+                [this](const std::string& reason) { fail(reason); }});
+  restart_idle_timer();
 }
 
 void Client::close() {
-  loop_.timers().cancel(std::exchange(retry_, 0));
-  loop_.timers().cancel(std::exchange(idle_, 0));
+  loop_.timers().cancel(std::exchange(reconnect_timer_, 0));
+  loop_.timers().cancel(std::exchange(idle_timer_, 0));
   if (stream_) stream_->close();
   stream_.reset();
 }
 
-void Client::note_alive() {
-  loop_.timers().cancel(idle_);
-  idle_ = loop_.after(idle_s_, [this] {
-    idle_ = 0;
-    failed("nothing heard for " + std::to_string(idle_s_) + " s");
+void Client::restart_idle_timer() {
+  loop_.timers().cancel(idle_timer_);
+  idle_timer_ = loop_.after(idle_s_, [this] {
+    idle_timer_ = 0;
+    fail("no data received for " + std::to_string(idle_s_) + " s");
   });
 }
 
-void Client::received(std::string_view bytes) {
-  note_alive();
-  const std::shared_ptr<net::Stream> stream = stream_;  // a handler may close
+void Client::on_bytes(std::string_view bytes) {
+  restart_idle_timer();
+  const std::shared_ptr<net::Stream> stream = stream_;  // a handler may close the subscription
   const std::size_t parsed = http_parser_execute(&parser_, &settings_, bytes.data(), bytes.size());
   if (stream_ != stream) return;
   const auto error = HTTP_PARSER_ERRNO(&parser_);
   if (error != HPE_OK || parsed != bytes.size()) {
-    failed(parser_.status_code != 0 && parser_.status_code != 200
-               ? "answered with status " + std::to_string(parser_.status_code)
-               : std::string("no HTTP: ") + http_errno_description(error));
+    fail(parser_.status_code != 0 && parser_.status_code != 200
+             ? "HTTP status " + std::to_string(parser_.status_code)
+             : std::string("malformed HTTP: ") + http_errno_description(error));
   }
 }
 
-void Client::failed(const std::string& why) {
+void Client::fail(const std::string& reason) {
   close();
-  retry_later();
-  handlers_.on_failed(why);
+  schedule_reconnect();
+  handlers_.on_failed(reason);
 }
 
 void Client::resubscribe_after(const std::string& id) {
   close();
   sse_.set_last_id(id);
-  retry_later();
+  schedule_reconnect();
 }
 
-void Client::retry_later() {
-  constexpr int kDoublings = 3;
-  const double gap = reconnect_s_ * (1 << std::min(failures_, kDoublings));
+void Client::schedule_reconnect() {
+  constexpr int kMaxDoublings = 3;
+  const double delay = reconnect_s_ * (1 << std::min(failures_, kMaxDoublings));
   failures_ += 1;
-  constexpr double kLeast = 0.5;  // share of the gap
-  retry_ = loop_.after(gap * std::uniform_real_distribution<>(kLeast, 1.0)(random_), [this] {
-    retry_ = 0;
+  constexpr double kMinJitter = 0.5;  // share of the delay
+  reconnect_timer_ = loop_.after(delay * std::uniform_real_distribution<>(kMinJitter, 1.0)(random_), [this] {
+    reconnect_timer_ = 0;
     open();
   });
 }
--- a/src/list/event_order.hpp
+++ b/src/list/event_order.hpp
@@ -1,8 +1,8 @@
-// The order of a watch's numbered events: which is taken, which is known already, and when the watch has to
-// be begun again behind the last good one.
+// Checks the order of the numbered events of a subscription: which event to apply, which to skip as a
+// duplicate, and when to resubscribe after the last applied one.
 //
-// Pure: numbers in, verdicts out. With one missing or unreadable nothing behind it is taken as if it had been
-// told; one that can never be read is passed over after a few times, since it must not stop the list.
+// Pure: does no I/O and reads no clock. After a missing or unreadable event no later delta is applied. An
+// event that stays unreadable is skipped after a few attempts, so that it cannot block the list.
 #ifndef MINTROCK_SRC_LIST_EVENT_ORDER_HPP_
 #define MINTROCK_SRC_LIST_EVENT_ORDER_HPP_
 
@@ -15,28 +15,30 @@
   enum class Decision { kApply, kSkip, kResubscribe };
   explicit EventOrder(std::uint64_t last) : last_(last) {}
 
-  // A whole list needs nothing before it.
-  Decision classify(std::uint64_t number, bool whole) {
-    if (asking_ || number <= last_) return Decision::kSkip;
-    if (number > last_ + 1 && !whole && asked_ < kMostAsked) return ask();
+  // Decides about the event with this number. A full list can be applied without the events before it.
+  Decision classify(std::uint64_t number, bool full) {
+    if (resubscribing_ || number <= last_) return Decision::kSkip;
+    if (number > last_ + 1 && !full && resubscriptions_ < kMaxResubscriptions) return resubscribe();
     last_ = number;
-    asked_ = 0;
+    resubscriptions_ = 0;
     return Decision::kApply;
   }
-  Decision on_unreadable() { return asking_ || asked_ >= kMostAsked ? Decision::kSkip : ask(); }
-  void on_resubscribed() { asking_ = false; }
-  std::uint64_t last() const { return last_; }  // the last one taken
+  Decision on_unreadable() {
+    return resubscribing_ || resubscriptions_ >= kMaxResubscriptions ? Decision::kSkip : resubscribe();
+  }
+  void on_resubscribed() { resubscribing_ = false; }
+  std::uint64_t last() const { return last_; }  // number of the last event applied
 
  private:
-  static constexpr int kMostAsked = 3;
-  Decision ask() {
-    asked_ += 1;
-    asking_ = true;
+  static constexpr int kMaxResubscriptions = 3;
+  Decision resubscribe() {
+    resubscriptions_ += 1;
+    resubscribing_ = true;
     return Decision::kResubscribe;
   }
   std::uint64_t last_;
-  int asked_ = 0;        // times, behind last_
-  bool asking_ = false;  // what still comes of the old watch is behind the missing one
+  int resubscriptions_ = 0;     // since the last event was applied
+  bool resubscribing_ = false;  // events that still arrive on the old subscription are skipped
 };
 
 }  // namespace mintrock::list
--- a/src/list/json_fields.hpp
+++ b/src/list/json_fields.hpp
@@ -1,5 +1,5 @@
-// Checked fields of the list's JSON, for both forms in which it comes. A fault throws std::runtime_error that
-// names the field.
+// Reads and checks fields of the server list's JSON, for both of its formats. An invalid field throws
+// std::runtime_error that names it.
 #ifndef MINTROCK_SRC_LIST_JSON_FIELDS_HPP_
 #define MINTROCK_SRC_LIST_JSON_FIELDS_HPP_
 
@@ -10,26 +10,26 @@
 
 namespace mintrock::list {
 
-// Never empty.
-inline std::string text_field(const nlohmann::json& from, const char* key, std::size_t most) {
+// Returns a string of 1 to `max_size` bytes.
+inline std::string text_field(const nlohmann::json& from, const char* key, std::size_t max_size) {
   const auto found = from.find(key);
   if (found == from.end() || !found->is_string() || found->get_ref<const std::string&>().empty()) {
-    throw std::runtime_error(std::string(key) + " is missing or no text");
+    throw std::runtime_error(std::string(key) + " is missing or not a non-empty string");
   }
   const auto& value = found->get_ref<const std::string&>();
-  if (value.size() > most) {
-    throw std::runtime_error(std::string(key) + " is over " + std::to_string(most) + " bytes");
+  if (value.size() > max_size) {
+    throw std::runtime_error(std::string(key) + " exceeds " + std::to_string(max_size) + " bytes");
   }
   return value;
 }
 
-// From 0 to `most`; `otherwise` where it is missing.
-inline double number_field(const nlohmann::json& from, const char* key, double otherwise, double most) {
+// Returns a number from 0 to `max`, or `fallback` if the field is missing.
+inline double number_field(const nlohmann::json& from, const char* key, double fallback, double max) {
   const auto found = from.find(key);
-  if (found == from.end()) return otherwise;
-  if (!found->is_number()) throw std::runtime_error(std::string(key) + " is no number");
+  if (found == from.end()) return fallback;
+  if (!found->is_number()) throw std::runtime_error(std::string(key) + " is not a number");
   const double value = found->get<double>();
-  if (!std::isfinite(value) || value < 0 || value > most) {
+  if (!std::isfinite(value) || value < 0 || value > max) {
     throw std::runtime_error(std::string(key) + " is out of range");
   }
   return value;
--- a/src/list/server_list.cpp
+++ b/src/list/server_list.cpp
@@ -13,7 +13,7 @@
 
 using nlohmann::json;
 
-constexpr std::size_t kMostEntries = 10000;
+constexpr std::size_t kMaxEntries = 10000;
 
 const char* name(ServerEntry::State state) {
   switch (state) {
@@ -30,9 +30,9 @@
 Entry parse_entry(const json& from) {
   if (!from.is_object()) throw std::runtime_error("not an object");
   Entry entry;
-  constexpr std::size_t kMost = 255;  // bytes of a text
-  entry.identity = text_field(from, "identity", kMost);
-  const std::string state = text_field(from, "state", kMost);
+  constexpr std::size_t kMaxTextSize = 255;
+  entry.identity = text_field(from, "identity", kMaxTextSize);
+  const std::string state = text_field(from, "state", kMaxTextSize);
   if (state == "ready") {
     entry.state = ServerEntry::State::kReady;
   } else if (state == "draining") {
@@ -42,12 +42,12 @@
   } else {
     throw std::runtime_error("state '" + state.substr(0, 40) + "' is none of ready, draining, gone");
   }
-  // One that is gone needs no address.
-  if (entry.state != ServerEntry::State::kGone) entry.address = text_field(from, "address", kMost);
+  // A server that is gone needs no address.
+  if (entry.state != ServerEntry::State::kGone) entry.address = text_field(from, "address", kMaxTextSize);
   const double node = number_field(from, "node", 0, 4294967295.0);
   const double kind = number_field(from, "kind", 0, 4294967295.0);
   if (node != std::floor(node) || kind != std::floor(kind))
-    throw std::runtime_error("node or kind is no whole number");
+    throw std::runtime_error("node or kind is not an integer");
   entry.node = static_cast<std::uint32_t>(node);
   entry.kind = static_cast<std::uint32_t>(kind);
   entry.weight = number_field(from, "weight", 1, 1e9);
@@ -59,26 +59,26 @@
 
 Update parse_update(const std::string& text) {
   const json parsed = json::parse(text, nullptr, false);
-  if (!parsed.is_object()) throw std::runtime_error("the list's event is no JSON object");
+  if (!parsed.is_object()) throw std::runtime_error("the list event is not a JSON object");
   Update update;
   const auto revision = parsed.find("revision");
   if (revision == parsed.end() || !revision->is_number_unsigned()) {
-    throw std::runtime_error("the list's event has no revision");
+    throw std::runtime_error("the list event has no valid revision");
   }
   update.revision = revision->get<std::uint64_t>();
   const std::string mode = parsed.value("mode", json("")).is_string() ? parsed.value("mode", "") : "";
   if (mode != "full" && mode != "delta")
-    throw std::runtime_error("the list's mode is neither full nor delta");
+    throw std::runtime_error("the mode of the list event is neither full nor delta");
   update.full = mode == "full";
   const auto entries = parsed.find("entries");
-  if (entries == parsed.end() || !entries->is_array() || entries->size() > kMostEntries) {
-    throw std::runtime_error("the list's entries are missing, or too many");
+  if (entries == parsed.end() || !entries->is_array() || entries->size() > kMaxEntries) {
+    throw std::runtime_error("the entries of the list event are missing or too many");
   }
   std::set<std::string> seen;
   for (std::size_t i = 0; i < entries->size(); ++i) {
     try {
       Entry entry = parse_entry((*entries)[i]);
-      if (!seen.insert(entry.identity).second) throw std::runtime_error("named twice");
+      if (!seen.insert(entry.identity).second) throw std::runtime_error("duplicate identity");
       update.entries.push_back(std::move(entry));
     } catch (const std::exception& error) {
       update.errors.push_back("entry " + std::to_string(i) + ": " + error.what());
@@ -109,8 +109,8 @@
     for (auto& [id, entry] : entries_) entry.state = ServerEntry::State::kGone;
   }
   for (const Entry& entry : update.entries) {
-    ServerId& id = numbers_[entry.identity];
-    if (id == 0) id = ++last_;
+    ServerId& id = ids_[entry.identity];
+    if (id == 0) id = ++last_id_;
     const std::string address = entry.address.empty() ? entries_[id].address : entry.address;
     entries_[id] = entry;
     entries_[id].address = address;
@@ -128,7 +128,7 @@
     each.kind = entry.kind;
     each.weight = entry.weight;
     each.state = entry.state;
-    // A start before this machine's clock began counts as long ago; one in the future, as now.
+    // A start before the monotonic clock's origin counts as long ago, a start in the future as now.
     if (entry.started_at > 0) each.since = std::max(0.0, std::min(now, now - (wall - entry.started_at)));
     out.entries.push_back(each);
   }
@@ -138,8 +138,8 @@
 void ServerTable::forget(ServerId server) {
   const auto found = entries_.find(server);
   if (found == entries_.end()) return;
-  const auto named = numbers_.find(found->second.identity);
-  if (named != numbers_.end() && named->second == server) numbers_.erase(named);
+  const auto named = ids_.find(found->second.identity);
+  if (named != ids_.end() && named->second == server) ids_.erase(named);
   entries_.erase(found);
 }
 
@@ -148,8 +148,8 @@
   out.mode = ServerList::Mode::kDelta;
   if (update.revision < revision_) return out;
   for (const Entry& entry : update.entries) {
-    const auto named = numbers_.find(entry.identity);
-    if (named == numbers_.end() || entry.state != ServerEntry::State::kReady) continue;
+    const auto named = ids_.find(entry.identity);
+    if (named == ids_.end() || entry.state != ServerEntry::State::kReady) continue;
     Entry& known = entries_[named->second];
     if (known.address == entry.address) continue;
     known.state = ServerEntry::State::kGone;
@@ -157,7 +157,7 @@
     gone.id = named->second;
     gone.state = ServerEntry::State::kGone;
     out.entries.push_back(gone);
-    numbers_.erase(named);
+    ids_.erase(named);
   }
   return out;
 }
@@ -168,8 +168,8 @@
 }
 
 ServerId ServerTable::id_of(const std::string& identity) const {
-  const auto found = numbers_.find(identity);
-  return found == numbers_.end() ? 0 : found->second;
+  const auto found = ids_.find(identity);
+  return found == ids_.end() ? 0 : found->second;
 }
 
 Update ServerTable::snapshot() const {
--- a/src/list/server_list.hpp
+++ b/src/list/server_list.hpp
@@ -1,7 +1,7 @@
-// The pool list: what it says of the core servers, read and checked, merged and kept under the numbers that
-// the decisions use.
+// The server list: parses and checks its updates, and keeps the known core servers under the ids that the
+// controller uses.
 //
-// Pure: text and times in, news out. docs/edge-design.md has the form of the text.
+// Pure: does no I/O and reads no clock. docs/edge-design.md describes the format of the text.
 #ifndef MINTROCK_SRC_LIST_SERVER_LIST_HPP_
 #define MINTROCK_SRC_LIST_SERVER_LIST_HPP_
 
@@ -14,7 +14,7 @@
 
 namespace mintrock::list {
 
-// One core server as the list knows it.
+// One core server of the list.
 struct Entry {
   std::string identity;  // Diameter identity (Origin-Host)
   std::string address;   // a.b.c.d:port
@@ -25,44 +25,46 @@
   double started_at = 0;  // s since the Unix epoch; 0: long ago
 };
 
+// One event of the server list: the full list, or a delta.
 struct Update {
   std::uint64_t revision = 0;
   bool full = true;
   std::vector<Entry> entries;
-  std::vector<std::string> errors;  // entries that were left out, each one line: which, and what is wrong
+  std::vector<std::string> errors;  // one line for each omitted entry: its index and the error
 };
 
-// Reads one event's JSON. A broken entry is left out and named in `errors`, the rest stands; text that is no
-// list at all throws std::runtime_error.
+// Parses the JSON of one event. A malformed entry is omitted and reported in `errors`. Throws
+// std::runtime_error if the text is not a list event at all.
 Update parse_update(const std::string& json);
 std::string print_update(const Update& update);
 
-// What this proxy knows of the list: one number for each identity, never given to another.
+// The core servers known from the list. Each identity gets an id, which is never given to another one.
 class ServerTable {
  public:
-  // Merges update; false if its revision is older than what is known (it is then ignored).
+  // Merges the update. Returns false and ignores it if its revision is older than the known one.
   bool apply(const Update& update);
-  // The same news for the decisions. `since` on the monotonic clock, from the wall clock at the same instant.
+  // Converts the update into the controller's event. Start times are converted to the monotonic clock; `now`
+  // and `wall` are the monotonic clock and the wall clock at the same instant.
   ServerList to_server_list(const Update& update, ServerList::Mode mode, double now, double wall);
 
-  // An identity that is told to serve at a new address is another process: what was known by it is gone,
-  // under its old number. To be asked before apply(); tells which those are.
+  // An identity that becomes ready at a new address is another process. Marks its previous entry as gone and
+  // returns those entries under their old ids; the identity gets a new id. Must be called before apply().
   ServerList retire_moved_servers(const Update& update);
-  // One that is gone, and that nobody asks for any more. Its number is not given again.
+  // Removes a server that is gone and no longer in use. Its id is not given again.
   void forget(ServerId server);
 
   const std::map<ServerId, Entry>& entries() const { return entries_; }
   const Entry* find(ServerId server) const;
   ServerId id_of(const std::string& identity) const;  // 0: unknown
   std::uint64_t revision() const { return revision_; }
-  // All that is known and not gone, for the file that a restart begins with.
+  // Returns all servers that are not gone, to be stored for the next start.
   Update snapshot() const;
 
  private:
-  std::map<std::string, ServerId> numbers_;
+  std::map<std::string, ServerId> ids_;
   std::map<ServerId, Entry> entries_;
   std::uint64_t revision_ = 0;
-  ServerId last_ = 0;
+  ServerId last_id_ = 0;
 };
 
 }  // namespace mintrock::list
--- a/src/list/sse.hpp
+++ b/src/list/sse.hpp
@@ -1,7 +1,7 @@
-// Server-Sent Events: a stream of text cut into events (WHATWG HTML, section 9.2.6).
+// Parses a stream of Server-Sent Events (WHATWG HTML, section 9.2.6).
 //
-// Pure: bytes in, events out. A line or an event longer than the bound is dropped whole, with a word about
-// it.
+// Pure: does no I/O and reads no clock. An event that exceeds the size limit is dropped as a whole and
+// counted.
 #ifndef MINTROCK_SRC_LIST_SSE_HPP_
 #define MINTROCK_SRC_LIST_SSE_HPP_
 
@@ -13,25 +13,25 @@
 namespace mintrock::list {
 
 struct SseEvent {
-  std::string id;  // the last one given, in this event or before
+  std::string id;  // the last id received, in this event or an earlier one
   std::string type;
   std::string data;
 };
 
 class SseParser {
  public:
-  explicit SseParser(std::size_t most = 16 << 20) : most_(most) {}
+  explicit SseParser(std::size_t max_size = 16 << 20) : max_size_(max_size) {}
 
   void feed(std::string_view bytes, const std::function<void(const SseEvent&)>& on_event) {
     for (const char c : bytes) {
-      if (after_return_ && c == '\n') {  // CRLF is one end of line
-        after_return_ = false;
+      if (after_cr_ && c == '\n') {  // CRLF is a single line end
+        after_cr_ = false;
         continue;
       }
-      after_return_ = c == '\r';
+      after_cr_ = c == '\r';
       if (c == '\r' || c == '\n') {
         end_line(on_event);
-      } else if (line_.size() + data_.size() < most_) {
+      } else if (line_.size() + data_.size() < max_size_) {
         line_.push_back(c);
       } else {
         too_long_ = true;
@@ -39,17 +39,18 @@
     }
   }
 
-  // A new connection: what was begun is dropped, the last id stands.
+  // Prepares for a new connection: drops a partly received event, keeps the last id.
   void restart() {
     line_.clear();
     data_.clear();
     type_.clear();
-    has_data_ = too_long_ = after_return_ = false;
-    begun_id_ = id_;
+    has_data_ = too_long_ = after_cr_ = false;
+    pending_id_ = id_;
   }
 
-  void set_last_id(const std::string& id) { id_ = begun_id_ = id; }
-  // Of the last whole event: one that broke off behind its id has not been told, and is asked for again.
+  void set_last_id(const std::string& id) { id_ = pending_id_ = id; }
+  // Returns the id of the last complete event. An event that broke off after its id was not delivered, so it
+  // must be requested again.
   const std::string& last_id() const { return id_; }
   std::size_t dropped() const { return dropped_; }
 
@@ -58,7 +59,7 @@
     std::string line;
     line.swap(line_);
     if (line.empty()) {
-      id_ = begun_id_;
+      id_ = pending_id_;
       if (too_long_) {
         dropped_ += 1;
       } else if (has_data_) {
@@ -69,7 +70,7 @@
       has_data_ = too_long_ = false;
       return;
     }
-    if (line.front() == ':') return;  // a comment keeps the connection alive
+    if (line.front() == ':') return;  // a comment, sent to keep the connection alive
     const std::size_t colon = line.find(':');
     const std::string field = line.substr(0, colon);
     std::string value = colon == std::string::npos ? "" : line.substr(colon + 1);
@@ -81,15 +82,15 @@
     } else if (field == "event") {
       type_ = value;
     } else if (field == "id") {
-      begun_id_ = value;
+      pending_id_ = value;
     }
   }
 
-  std::size_t most_;
-  std::string line_, data_, type_, id_, begun_id_;
+  std::size_t max_size_;
+  std::string line_, data_, type_, id_, pending_id_;
   bool has_data_ = false;
   bool too_long_ = false;
-  bool after_return_ = false;
+  bool after_cr_ = false;
   std::size_t dropped_ = 0;
 };
 
--- a/tests/list/event_order_test.cpp
+++ b/tests/list/event_order_test.cpp
@@ -7,25 +7,24 @@
 
 using Decision = EventOrder::Decision;
 
-TEST(EventOrder, EventsAreTakenInTurnAndOnce) {
+TEST(EventOrder, AppliesEventsInOrderAndOnce) {
   EventOrder order(1);
   EXPECT_EQ(order.classify(2, false), Decision::kApply);
   EXPECT_EQ(order.classify(2, false), Decision::kSkip);
-  EXPECT_EQ(order.classify(9, true), Decision::kApply) << "a whole list needs nothing before it";
+  EXPECT_EQ(order.classify(9, true), Decision::kApply) << "a full list needs no event before it";
   EXPECT_EQ(order.last(), 9u);
 }
 
-// Whether the one before is missing or unreadable: nothing behind it is taken, until it has been asked for in
-// vain.
-TEST(EventOrder, NothingBehindAMissingOneIsTakenUntilItWasAskedForThreeTimes) {
+// A missing or unreadable event holds up all later ones until three attempts to get it have failed.
+TEST(EventOrder, SkipsAMissingEventAfterThreeResubscriptions) {
   for (const bool unreadable : {false, true}) {
     EventOrder order(1);
-    for (int asked = 0; asked < 3; ++asked) {
+    for (int attempt = 0; attempt < 3; ++attempt) {
       if (unreadable) {
         EXPECT_EQ(order.on_unreadable(), Decision::kResubscribe);
       }
       EXPECT_EQ(order.classify(3, false), unreadable ? Decision::kSkip : Decision::kResubscribe);
-      EXPECT_EQ(order.classify(4, true), Decision::kSkip) << "of the old watch";
+      EXPECT_EQ(order.classify(4, true), Decision::kSkip) << "from the old subscription";
       EXPECT_EQ(order.last(), 1u);
       order.on_resubscribed();
     }
@@ -33,7 +32,8 @@
       EXPECT_EQ(order.on_unreadable(), Decision::kSkip);
     }
     EXPECT_EQ(order.classify(3, false), Decision::kApply);
-    EXPECT_EQ(order.classify(5, false), Decision::kResubscribe) << "the next one is asked for anew";
+    EXPECT_EQ(order.classify(5, false), Decision::kResubscribe)
+        << "the next missing event is requested again";
   }
 }
 
--- a/tests/list/list_test.cpp
+++ b/tests/list/list_test.cpp
@@ -11,7 +11,7 @@
 namespace mintrock::list {
 namespace {
 
-TEST(Sse, EventsComeOutWholeHoweverTheStreamIsCut) {
+TEST(Sse, ParsesEventsSplitAtAnyPosition) {
   const std::string stream = ": hello\r\nid: 7\r\nevent: list\r\ndata: a\r\ndata: b\r\n\r\ndata:c\n\n";
   for (std::size_t cut = 0; cut <= stream.size(); ++cut) {
     SseParser parser;
@@ -28,7 +28,7 @@
   }
 }
 
-TEST(Sse, AnEventWithoutEndIsBounded) {
+TEST(Sse, DropsAnEventThatExceedsTheLimit) {
   SseParser parser(1000);
   int events = 0;
   const auto take = [&](const SseEvent&) { events += 1; };
@@ -40,7 +40,7 @@
   EXPECT_EQ(events, 1);
 }
 
-TEST(PoolList, BrokenEntriesAreNamedAndTheRestStands) {
+TEST(ServerList, OmitsAndReportsMalformedEntries) {
   const Update update = parse_update(
       R"({"revision":3,"mode":"full","entries":[
         {"identity":"a","address":"127.0.0.1:1","state":"ready","node":2},
@@ -56,7 +56,7 @@
   EXPECT_EQ(update.errors[0], "entry 1: state 'sleepy' is none of ready, draining, gone");
 }
 
-TEST(PoolList, TextThatIsNoListThrows) {
+TEST(ServerList, ThrowsOnTextThatIsNoListEvent) {
   for (const char* bad :
        {"", "x", "[]", "{}", R"({"revision":1})", R"({"revision":1,"mode":"half","entries":[]})",
         R"({"revision":-1,"mode":"full","entries":[]})", R"({"revision":1,"mode":"full"})",
@@ -65,7 +65,7 @@
   }
 }
 
-TEST(ServerTable, KeepsNumbersAndIgnoresOldNews) {
+TEST(ServerTable, KeepsIdsAndIgnoresOldUpdates) {
   ServerTable table;
   Update update;
   update.revision = 5;
@@ -79,20 +79,20 @@
   drained.entries = {{"a", "", 0, 0, 1, ServerEntry::State::kDraining}};
   EXPECT_TRUE(table.apply(drained));
   EXPECT_EQ(table.find(a)->state, ServerEntry::State::kDraining);
-  EXPECT_EQ(table.find(a)->address, "127.0.0.1:1") << "an address that is not told again stands";
-  EXPECT_FALSE(table.apply(update)) << "older than what is known";
+  EXPECT_EQ(table.find(a)->address, "127.0.0.1:1") << "an update without an address keeps the known one";
+  EXPECT_FALSE(table.apply(update)) << "older than the known revision";
   EXPECT_EQ(table.find(a)->state, ServerEntry::State::kDraining);
   Update full;
   full.revision = 7;
   full.entries = {{"b", "127.0.0.1:2"}};
   EXPECT_TRUE(table.apply(full));
-  EXPECT_EQ(table.find(a)->state, ServerEntry::State::kGone) << "not in a whole list: gone";
+  EXPECT_EQ(table.find(a)->state, ServerEntry::State::kGone) << "not in a full list, so gone";
   EXPECT_EQ(table.id_of("a"), a);
   EXPECT_EQ(parse_update(print_update(table.snapshot())).entries.size(), 1u);
 }
 
-// The list tells starts by the wall clock; decisions run on a clock that only goes forward.
-TEST(ServerTable, StartsAreTurnedIntoTheMonotonicClock) {
+// The list gives start times on the wall clock; the controller uses the monotonic clock.
+TEST(ServerTable, ConvertsStartTimesToTheMonotonicClock) {
   ServerTable table;
   Update update;
   update.revision = 1;
@@ -103,11 +103,12 @@
   const ServerList list = table.to_server_list(update, ServerList::Mode::kFull, 200, 1030);
   EXPECT_EQ(list.entries[0].since, 0) << "long ago";
   EXPECT_EQ(list.entries[1].since, 170);
-  EXPECT_EQ(list.entries[2].since, 200) << "no start in the future";
+  EXPECT_EQ(list.entries[2].since, 200) << "a start in the future counts as now";
 }
 
-// Idle clients may hold every descriptor while discovery is down: the watch comes up once one is free.
-TEST(Watch, WithoutADescriptorItTriesAgain) {
+// Idle clients may hold every file descriptor while the list server is down. The subscription must open once
+// a descriptor is free.
+TEST(ListClient, RetriesWithoutAFileDescriptor) {
   net::Loop loop;
   int accepted = 0;
   net::Listener bus(loop, net::Address{}, [&](int fd, net::Address) {
@@ -115,26 +116,26 @@
     accepted += 1;
     loop.stop();
   });
-  rlimit before{};
-  ASSERT_EQ(getrlimit(RLIMIT_NOFILE, &before), 0);
-  const int next = dup(0);
-  ASSERT_GE(next, 0);
-  ::close(next);
-  rlimit none = before;
-  none.rlim_cur = static_cast<rlim_t>(next);
-  ASSERT_EQ(setrlimit(RLIMIT_NOFILE, &none), 0);
+  rlimit original{};
+  ASSERT_EQ(getrlimit(RLIMIT_NOFILE, &original), 0);
+  const int next_fd = dup(0);
+  ASSERT_GE(next_fd, 0);
+  ::close(next_fd);
+  rlimit exhausted = original;
+  exhausted.rlim_cur = static_cast<rlim_t>(next_fd);
+  ASSERT_EQ(setrlimit(RLIMIT_NOFILE, &exhausted), 0);
   int failures = 0;
-  Client watch(loop, bus.local(), "/bus", 0.01, 5, 1,
-               {[](const SseEvent&) {},
-                [&](const std::string&) {
-                  // Three times without; then somebody has gone.
-                  if (++failures == 3) setrlimit(RLIMIT_NOFILE, &before);
-                }});
-  watch.open();
+  Client client(loop, bus.local(), "/bus", 0.01, 5, 1,
+                {[](const SseEvent&) {},
+                 [&](const std::string&) {
+                   // A descriptor becomes free after three failures.
+                   if (++failures == 3) setrlimit(RLIMIT_NOFILE, &original);
+                 }});
+  client.open();
   EXPECT_EQ(failures, 1);
   loop.after(5, [&] { loop.stop(); });
   loop.run();
-  setrlimit(RLIMIT_NOFILE, &before);
+  setrlimit(RLIMIT_NOFILE, &original);
   EXPECT_GE(failures, 3);
   EXPECT_EQ(accepted, 1);
 }
