--- a/src/fleet/gossip.hpp
+++ b/src/fleet/gossip.hpp
@@ -26,7 +26,7 @@
  public:
   Writer(std::uint32_t own_number, std::uint64_t boot) : own_number_(own_number), boot_(boot) {}
   // `identity` returns the name of a server. Servers without a name and entries that do not fit are omitted.
-  std::string pack(const std::vector<Hearsay>& hearsay, const std::function<std::string(ServerId)>& identity);
+  std::string pack(const std::vector<Hearsay>& entries, const std::function<std::string(ServerId)>& identity);
 
  private:
   std::uint32_t own_number_;
