--- a/src/platform/caller_codec.cpp
+++ b/src/platform/caller_codec.cpp
@@ -123,11 +123,11 @@
   return message;
 }
 
-std::optional<CallSetup> read_setup(const CallerMessage& message, const char*& why) {
+std::optional<CallSetup> read_setup(const CallerMessage& message, const char*& error) {
   CallSetup out;
   out.id = message.call;
   const auto fault = [&](const char* what) {
-    why = what;
+    error = what;
     return std::nullopt;
   };
   if (out.id == 0) return fault("missing call id");
--- a/src/platform/caller_codec.hpp
+++ b/src/platform/caller_codec.hpp
@@ -78,8 +78,8 @@
   std::string description;
 };
 
-// Returns nullopt and sets `why` to the name of the fault if the message is not a valid set-up.
-std::optional<CallSetup> read_setup(const CallerMessage& message, const char*& why);
+// Returns nullopt and sets `error` to the name of the fault if the message is not a valid set-up.
+std::optional<CallSetup> read_setup(const CallerMessage& message, const char*& error);
 // Returns the cause of a release, kCauseNormal if it has none.
 int read_cause(const CallerMessage& message);
 
