--- a/src/bench/drill.cpp
+++ b/src/bench/drill.cpp
@@ -57,7 +57,7 @@
   void apply(const wire::PowerOn& r) {
     wire::InstanceSettings parsed = wire::parse_settings(r.settings);
     instances_[current_number()] = {std::make_unique<Controller>(parsed.settings, r.seed),
-                                    std::move(parsed.fields)};
+                                    std::move(parsed.report_fields)};
     deliver(mintrock::Started{});
   }
   // Also drops the actions that the halted instance requested earlier in this batch.
--- a/src/edge/edge.cpp
+++ b/src/edge/edge.cpp
@@ -195,7 +195,7 @@
   offer.ttl_s = record->max_wait_ms ? std::min(deadline, *record->max_wait_ms / 1000.0) : deadline;
   offer.key = stable_hash(record->called);
   offer.lines = record->lines;
-  if (const list::Entry* entry = server_list_.find(server_list_.number(record->destination_host)))
+  if (const list::Entry* entry = server_list_.find(server_list_.id_of(record->destination_host)))
     offer.first_choice = entry->node;
   else if (!record->destination_host.empty())
     unknown_host_ += 1;  // the first choice is only a preference: another server may take the call
@@ -303,7 +303,7 @@
     if (found != calls_.end()) found->second.rejection = std::make_unique<const CoreAnswer>(answer);
   }
   call_manager_.on_ended(call, attempt, answer.outcome, answer.cause, answer.advised_wait_s, answer.report,
-                      loop_.now());
+                         loop_.now());
   schedule_call_timer();
 }
 
@@ -334,23 +334,23 @@
 // ---- The server list ----
 
 void Edge::on_list_event(const list::SseEvent& event) {
-  list::News update;
+  list::Update update;
   try {
-    update = list::parse_news(event.data);
+    update = list::parse_update(event.data);
   } catch (const std::exception& error) {
     log_event(warn, "list_malformed", {{"detail", error.what()}});
     return;
   }
-  for (const std::string& fault : update.faults) log_event(warn, "list_entry_malformed", {{"detail", fault}});
-  if (!server_list_.take(update)) return;
+  for (const std::string& fault : update.errors) log_event(warn, "list_entry_malformed", {{"detail", fault}});
+  if (!server_list_.apply(update)) return;
   list_connected_ = true;
   const double now = loop_.now();
   log_event(info, "list", {{"revision", std::to_string(update.revision)}});
   // Update the Controller first: it must know which servers drain before the core side looks again at the
   // set-ups that wait for a connection.
   call_manager_.update_servers(
-      server_list_.event(update, update.full ? ServerList::Mode::kFull : ServerList::Mode::kDelta, now,
-                         net::wall_now()),
+      server_list_.to_server_list(update, update.full ? ServerList::Mode::kFull : ServerList::Mode::kDelta,
+                                  now, net::wall_now()),
       now);
   for (const auto& [id, entry] : server_list_.entries()) core_.update_server(id, entry);
   schedule_call_timer();
@@ -411,13 +411,13 @@
   const membership::Moment current = moment_at(now);
   const membership::Moment stored{loaded.wall, loaded.monotonic, loaded.boot};
   // Revision 0, so that any later update is accepted: the list server may have restarted its revisions.
-  list::News update;
+  list::Update update;
   for (const membership::KeptEntry& each : loaded.entries) {
     update.entries.push_back(
         {each.identity, each.address, each.node, each.kind, each.weight, each.state, each.started_at});
   }
-  server_list_.take(update);
-  ServerList cached = server_list_.event(update, ServerList::Mode::kCached, now, current.wall);
+  server_list_.apply(update);
+  ServerList cached = server_list_.to_server_list(update, ServerList::Mode::kCached, now, current.wall);
   std::vector<membership::Kept> kept;
   for (std::size_t i = 0; i < loaded.entries.size(); ++i) {
     const membership::Age age = membership::age_of(loaded.entries[i].last_confirmed, stored, current);
@@ -427,7 +427,7 @@
     evidence.source = loaded.entries[i].source;
     const auto entry = std::find_if(
         cached.entries.begin(), cached.entries.end(),
-        [&](const ServerEntry& each) { return each.id == server_list_.number(loaded.entries[i].identity); });
+        [&](const ServerEntry& each) { return each.id == server_list_.id_of(loaded.entries[i].identity); });
     if (entry == cached.entries.end()) continue;
     kept.push_back({*entry, membership::judge(config_.list.trust, evidence)});
     log_event(info, "list_kept",
@@ -441,7 +441,7 @@
   return true;
 }
 
-void Edge::store_list(const list::News& update) {
+void Edge::store_list(const list::Update& update) {
   if (!list_store_) return;
   const membership::Moment current = moment_at(loop_.now());
   membership::Change change;
@@ -467,7 +467,7 @@
   confirm_timer_ = loop_.after(kConfirmInterval, [this] {
     log_store_faults();
     if (list_connected_) {
-      list::News all = server_list_.snapshot();
+      list::Update all = server_list_.snapshot();
       all.full = true;
       store_list(all);
     }
@@ -491,13 +491,14 @@
   std::ostringstream text;
   text << in.rdbuf();
   try {
-    list::News update = list::parse_news(text.str());
+    list::Update update = list::parse_update(text.str());
     // Any later update is accepted, even with a lower revision: the list server may have restarted its
     // revisions.
     update.revision = 0;
-    server_list_.take(update);
+    server_list_.apply(update);
     const double now = loop_.now();
-    call_manager_.update_servers(server_list_.event(update, ServerList::Mode::kCached, now, net::wall_now()), now);
+    call_manager_.update_servers(
+        server_list_.to_server_list(update, ServerList::Mode::kCached, now, net::wall_now()), now);
     for (const auto& [id, entry] : server_list_.entries()) core_.update_server(id, entry);
     log_event(info, "list_cached", {{"detail", std::to_string(update.entries.size()) + " servers"}});
   } catch (const std::exception& error) {
@@ -513,7 +514,7 @@
     cache_write_pending_ = false;
     const std::string temporary = config_.list.cache_file + ".new";
     std::ofstream out(temporary, std::ios::trunc);
-    out << list::print_news(server_list_.snapshot());
+    out << list::print_update(server_list_.snapshot());
     out.close();
     if (!out || std::rename(temporary.c_str(), config_.list.cache_file.c_str()) != 0) {
       log_event(warn, "list_cache_not_written", {{"detail", config_.list.cache_file}});
@@ -531,7 +532,7 @@
   if (found != peers.end()) {
     news = gossip_reader_.read(
         bytes, static_cast<std::uint32_t>(found - peers.begin()),
-        [this](const std::string& identity) { return server_list_.number(identity); }, reason);
+        [this](const std::string& identity) { return server_list_.id_of(identity); }, reason);
   }
   if (!news) {
     log_event(debug, "hearsay_dropped", {{"peer", from.str()}, {"detail", reason}});
--- a/src/edge/edge.hpp
+++ b/src/edge/edge.hpp
@@ -18,9 +18,9 @@
 #include "edge/diameter_front.hpp"
 #include "edge/front.hpp"
 #include "edge/metrics.hpp"
-#include "fleet/hearsay.hpp"
+#include "fleet/gossip.hpp"
 #include "list/client.hpp"
-#include "list/pool_list.hpp"
+#include "list/server_list.hpp"
 #include "membership/keeper.hpp"
 #include "net/loop.hpp"
 
@@ -83,7 +83,7 @@
 
   void on_list_event(const list::SseEvent& event);
   bool load_stored_list();  // returns whether the store held a list
-  void store_list(const list::News& update);
+  void store_list(const list::Update& update);
   void schedule_list_confirmation();
   void log_store_faults();
   void load_cached_list();
@@ -100,7 +100,7 @@
   std::uint64_t seed_;
   diameter::LocalNode local_;
   Metrics metrics_;
-  list::Book server_list_;
+  list::ServerTable server_list_;
   RealmTable realms_;
   CallManager call_manager_;
   CoreSide core_;
--- a/src/platform/platform_edge.cpp
+++ b/src/platform/platform_edge.cpp
@@ -11,7 +11,7 @@
 #include <utility>
 
 #include "edge/logging.hpp"
-#include "instance/hearsay.hpp"
+#include "instance/gossip.hpp"
 #include "platform/log_names.hpp"
 
 namespace mintrock::platform {
@@ -47,7 +47,7 @@
 
 std::uint32_t max_calls(const Config& config) {
   return static_cast<std::uint32_t>(
-      std::min<std::size_t>(config.most_open, config.memory_mb * kCallsPerMegabyte));
+      std::min<std::size_t>(config.max_open_calls, config.memory_mb * kCallsPerMegabyte));
 }
 
 // Returns the server's id in messages between proxies, whose local ids for it differ: 48 bits of a hash of
@@ -76,7 +76,7 @@
       budget_(config_.sockets),
       call_manager_(config_.instance.settings, config_.seed, max_calls(config_), *this),
       callers_(*this),
-      order_(config_.offset) {}
+      order_(config_.list_offset) {}
 
 PlatformEdge::~PlatformEdge() {
   loop_.timers().cancel(timer_);
@@ -87,8 +87,8 @@
 
 void PlatformEdge::start() {
   call_manager_.start(loop_.now());
-  for (const TopologyEvent& event : config_.known) apply_update(event);
-  config_.known.clear();
+  for (const TopologyEvent& event : config_.known_servers) apply_update(event);
+  config_.known_servers.clear();
   open_bus();
   if (config_.has_peers && config_.instance.settings.can_tell_peers) {
     datagrams_ = std::make_unique<net::Datagrams>(
@@ -158,7 +158,7 @@
 
 void PlatformEdge::cut(CallId id) {
   const auto found = calls_.find(id);
-  if (found != calls_.end()) callers_.end(found->second.id, found->second.end_cause, loop_.now());
+  if (found != calls_.end()) callers_.report_end(found->second.id, found->second.end_cause, loop_.now());
 }
 
 edge::SendResult PlatformEdge::send_setup(CallId id, std::uint32_t attempt, ServerId server,
@@ -202,7 +202,7 @@
     if (core == cores_.end()) continue;
     common.push_back({shared_server_id(core->second.identity), each.wait_s, each.age_s});
   }
-  if (!common.empty()) datagrams_->send(instance::pack_hearsay(common), config_.peers[peer]);
+  if (!common.empty()) datagrams_->send(instance::pack_gossip(common), config_.peers[peer]);
 }
 
 void PlatformEdge::log(const std::string& text) { log_event(info, "decision", {{"detail", text}}); }
@@ -211,8 +211,8 @@
 
 void PlatformEdge::on_accept(int fd, net::Address from) {
   if (caller_streams_.size() + loop_.closing() >= budget_.callers) {
-    const ConnectionId candidate = callers_.spare_connection();
-    if (candidate != 0) callers_.close_for_room(candidate);
+    const ConnectionId candidate = callers_.eviction_candidate();
+    if (candidate != 0) callers_.evict(candidate);
   }
   const auto stream = net::Stream::adopt(loop_, fd, from, kMaxUnsent);
   if (caller_streams_.size() + loop_.closing() >= budget_.callers) return stream->close();
@@ -258,16 +258,17 @@
 }
 
 const char* PlatformEdge::offer(CallSetup setup) {
-  const auto found_class = std::find(config_.classes.begin(), config_.classes.end(), setup.service_class);
-  if (found_class == config_.classes.end()) return "unknown class";
+  const auto found_class =
+      std::find(config_.class_names.begin(), config_.class_names.end(), setup.service_class);
+  if (found_class == config_.class_names.end()) return "unknown class";
   if (call_ids_.count(setup.id) != 0 || taken_over_.count(setup.id) != 0)
     return "duplicate id: the call is established or in progress";
   // The set-up is measured with the longest time value; a core server closes the connection on a larger
   // message.
   constexpr std::uint32_t kMaxLeftMs = 4294967295u;
-  if (setup.description.size() > kMostMessage / 16 &&
+  if (setup.description.size() > kMaxMessageSize / 16 &&
       write_core_setup(setup.id, setup.service_class, setup.number, kMaxLeftMs, setup.description).size() >
-          kMostMessage) {
+          kMaxMessageSize) {
     return "set-up too large to forward";
   }
   const CallId id = call_manager_.next_call_id();
@@ -278,9 +279,9 @@
   call.number = std::move(setup.number);
   call.description = std::move(setup.description);
   edge::CallRequest out;
-  out.call_class = static_cast<std::uint32_t>(found_class - config_.classes.begin());
+  out.call_class = static_cast<std::uint32_t>(found_class - config_.class_names.begin());
   out.key = setup.key;
-  out.ttl_s = setup.left_s;
+  out.ttl_s = setup.time_left_s;
   out.lines = setup.width;
   out.first_choice = setup.first_choice;
   out.redialled = setup.redialled;
@@ -293,19 +294,19 @@
   if (call_ids_.count(setup.id) != 0 || taken_over_.count(setup.id) != 0) return nullptr;  // known already
   if (recently_ended_.count(setup.id) != 0) {
     // It ended before its caller reported it: the end may have reached nobody.
-    callers_.end(setup.id, kCauseTemporaryFailure, loop_.now());
+    callers_.report_end(setup.id, kCauseTemporaryFailure, loop_.now());
     return nullptr;
   }
   if (taken_over_.size() >= kMaxTakenOver || unlisted_.size() >= kMaxUnlisted) {
     return "too many calls taken over";
   }
-  const ServerId server = book_.number(setup.stands_at);
+  const ServerId server = book_.id_of(setup.established_server);
   CoreConnections* const connections = find_connections(server);
   taken_over_[setup.id] = connections == nullptr ? 0 : server;
   if (connections != nullptr) {
     connections->take_over(setup.id);
   } else {
-    unlisted_.push_back({loop_.now() + kUnlistedTimeout, setup.id, setup.stands_at});
+    unlisted_.push_back({loop_.now() + kUnlistedTimeout, setup.id, setup.established_server});
   }
   return nullptr;
 }
@@ -320,7 +321,7 @@
   std::vector<std::uint64_t> expired;
   for (auto it = unlisted_.begin(); it != unlisted_.end();) {
     const auto taken = taken_over_.find(it->id);
-    const ServerId server = book_.number(it->identity);
+    const ServerId server = book_.id_of(it->identity);
     CoreConnections* const connections = find_connections(server);
     const bool pending = taken != taken_over_.end() && taken->second == 0;
     if (pending && connections != nullptr) {
@@ -337,7 +338,7 @@
   for (const std::uint64_t id : expired) {
     taken_over_.erase(id);
     remember_ended(id);
-    callers_.end(id, kCauseTemporaryFailure, now);
+    callers_.report_end(id, kCauseTemporaryFailure, now);
   }
 }
 
@@ -364,7 +365,7 @@
              {"standing", std::to_string(established)}});
 }
 
-void PlatformEdge::end_told(std::uint64_t id, ConnectionId to) {
+void PlatformEdge::end_reported(std::uint64_t id, ConnectionId to) {
   log_event(info, "end_told", {{"call", hex_id(id)}, {"connection", to == 0 ? "" : std::to_string(to)}});
 }
 
@@ -468,7 +469,8 @@
     if (call.server != server) return;
     call.end_cause = cause;
     // The attempt's number is not needed: only one attempt can be established.
-    call_manager_.on_established_call_ended(found->second, cut ? Outcome::kReset : Outcome::kEnded, report, now);
+    call_manager_.on_established_call_ended(found->second, cut ? Outcome::kReset : Outcome::kEnded, report,
+                                            now);
     return;
   }
   const auto taken = taken_over_.find(id);
@@ -480,7 +482,7 @@
   }
   // The call was taken over, or belongs to the previous process: its caller is notified.
   remember_ended(id);
-  callers_.end(id, cause, now);
+  callers_.report_end(id, cause, now);
 }
 
 void PlatformEdge::core_load_reported(ServerId server, const Report& report) {
@@ -545,39 +547,39 @@
 }
 
 void PlatformEdge::on_event(const list::SseEvent& event) {
-  using Verdict = list::EventOrder::Verdict;
-  Verdict result = Verdict::kSkip;
+  using Decision = list::EventOrder::Decision;
+  Decision decision = Decision::kSkip;
   std::string fault = "an earlier event is missing";
   try {
-    const TopologyEvent topology = parse_topology_event(event.data, config_.kinds);
-    result = order_.judge(topology.offset, topology.update.full);
-    if (result == Verdict::kTake) apply_update(topology);
+    const TopologyEvent topology = parse_topology_event(event.data, config_.kind_names);
+    decision = order_.classify(topology.offset, topology.update.full);
+    if (decision == Decision::kApply) apply_update(topology);
   } catch (const std::exception& error) {
-    result = order_.unreadable();
+    decision = order_.on_unreadable();
     fault = error.what();
   }
-  if (result == Verdict::kAskAgain) {
+  if (decision == Decision::kResubscribe) {
     log_event(warn, "event_bad", {{"id", event.id}, {"detail", fault}});
     loop_.defer([this] {  // not within a callback of the subscription that it replaces
-      order_.begun_again();
-      bus_->again_after(std::to_string(order_.last()));
+      order_.on_resubscribed();
+      bus_->resubscribe_after(std::to_string(order_.last()));
     });
   }
   schedule_timer();
 }
 
 void PlatformEdge::apply_update(const TopologyEvent& event) {
-  for (const std::string& fault : event.update.faults) log_event(warn, "host_malformed", {{"detail", fault}});
+  for (const std::string& fault : event.update.errors) log_event(warn, "host_malformed", {{"detail", fault}});
   const double now = loop_.now();
   const double wall = net::wall_now();
-  const ServerList moved = book_.retire_moved(event.update);
-  if (!book_.take(event.update)) return;
+  const ServerList moved = book_.retire_moved_servers(event.update);
+  if (!book_.apply(event.update)) return;
   if (!moved.entries.empty()) call_manager_.update_servers(moved, now);
   // The Controller is updated first: it must know which servers drain before queued set-ups are decided
   // again.
   call_manager_.update_servers(
-      book_.event(event.update, event.update.full ? ServerList::Mode::kFull : ServerList::Mode::kDelta, now,
-                  wall),
+      book_.to_server_list(event.update,
+                           event.update.full ? ServerList::Mode::kFull : ServerList::Mode::kDelta, now, wall),
       now);
   std::size_t alive = 0;
   for (const auto& [id, entry] : book_.entries()) alive += entry.state != ServerEntry::State::kGone;
@@ -594,7 +596,8 @@
         continue;
       }
       core.connections = std::make_unique<CoreConnections>(
-          id, CoreConnections::Settings{config_.connect_s, budget_.per_server(alive), config_.seed + id},
+          id,
+          CoreConnections::Settings{config_.connect_timeout_s, budget_.per_server(alive), config_.seed + id},
           *this, core_counters_);
     }
     core.state = entry.state;
@@ -602,7 +605,7 @@
   }
   // An address belongs to the server that was last listed as ready there.
   for (const list::Entry& entry : event.update.entries) {
-    const auto latest = cores_.find(book_.number(entry.identity));
+    const auto latest = cores_.find(book_.id_of(entry.identity));
     if (latest == cores_.end() || entry.state != ServerEntry::State::kReady) continue;
     for (auto& [other, old] : cores_) {
       if (other != latest->first && old.address == latest->second.address)
@@ -633,7 +636,7 @@
 void PlatformEdge::log_state() {
   constexpr double kInterval = 10.0;  // s
   const edge::CallCounters& d = call_manager_.counters();
-  const CallerCounts& c = callers_.counts();
+  const CallerCounters& c = callers_.counters();
   const auto text = [](std::uint64_t value) { return std::to_string(value); };
   log_event(info, "state",
             {{"offered", text(d.offered)},
@@ -651,10 +654,10 @@
              {"taken_over", text(taken_over_.size())},
              {"callers", text(callers_.connections())},
              {"caller_faults", text(c.faults)},
-             {"closed_for_room", text(c.closed_for_room)},
-             {"ends_kept", text(c.ends_kept)},
+             {"closed_for_room", text(c.evicted)},
+             {"ends_kept", text(c.ends_queued)},
              {"ends_dropped", text(c.ends_dropped)},
-             {"ends_repeated", text(c.ends_repeated)},
+             {"ends_repeated", text(c.ends_resent)},
              {"core_lost", text(core_counters_.lost)},
              {"core_refused", text(core_counters_.refused)},
              {"core_not_up", text(core_counters_.connect_timeouts)},
@@ -678,7 +681,7 @@
 void PlatformEdge::on_datagram(std::string_view bytes, net::Address from) {
   if (std::find(config_.peers.begin(), config_.peers.end(), from) == config_.peers.end()) return;
   PeerNews update;
-  for (const GossipEntry& each : instance::unpack_hearsay(bytes)) {
+  for (const GossipEntry& each : instance::unpack_gossip(bytes)) {
     for (const auto& [id, core] : cores_) {
       if (shared_server_id(core.identity) == each.server)
         update.entries.push_back({id, each.wait_s, each.age_s});
@@ -702,7 +705,7 @@
     std::ifstream in(config_file_);
     std::ostringstream text;
     text << in.rdbuf();
-    bus = parse_bus(text.str());
+    bus = parse_bus_address(text.str());
   } catch (const std::exception& error) {
     log_event(warn, "reload_failed", {{"detail", error.what()}});
     if (tries_left > 1) loop_.after(kRetryDelay, [this, tries_left] { try_reload(tries_left - 1); });
@@ -735,7 +738,7 @@
     leaving_ = true;
     listener_->accept_pending();
     listener_.reset();
-    callers_.leave();
+    callers_.begin_shutdown();
     callers_.tick(now);
   }
   if (now >= drain_until_) {
@@ -748,7 +751,7 @@
   const bool callers_gone = leaving_ && callers_.connections() == 0 && loop_.closing() == 0;
   // An end that is received now can only be sent by the next process: it must not be delayed for the sake of
   // unconfirmed releases.
-  const bool done = callers_gone && (releases == 0 || callers_.ends_waiting() > 0);
+  const bool done = callers_gone && (releases == 0 || callers_.pending_ends() > 0);
   constexpr double kFlushTime = 0.2;  // s for the last bytes to be sent
   if (done || now >= drain_until_ + kFlushTime) {
     loop_.timers().cancel(state_timer_);
--- a/src/platform/platform_edge.hpp
+++ b/src/platform/platform_edge.hpp
@@ -13,7 +13,7 @@
 #include "edge/call_manager.hpp"
 #include "list/client.hpp"
 #include "list/event_order.hpp"
-#include "list/pool_list.hpp"
+#include "list/server_list.hpp"
 #include "net/loop.hpp"
 #include "platform/caller_side.hpp"
 #include "platform/config.hpp"
@@ -29,7 +29,9 @@
   std::size_t per_server(std::size_t servers) const;
 };
 
-class PlatformEdge : public edge::CallManagerDelegate, public CallerPorts, public CoreConnectionsDelegate {
+class PlatformEdge : public edge::CallManagerDelegate,
+                     public CallerSideDelegate,
+                     public CoreConnectionsDelegate {
  public:
   PlatformEdge(net::Loop& loop, Config config, std::string config_file);
   ~PlatformEdge() override;
@@ -86,7 +88,7 @@
   bool hang_up(std::uint64_t id) override;
   void caller_fault(ConnectionId from, const char* what) override;
   void caller_closed(ConnectionId which, CloseReason reason, std::size_t established) override;
-  void end_told(std::uint64_t id, ConnectionId to) override;
+  void end_reported(std::uint64_t id, ConnectionId to) override;
 
   // ---- CoreConnectionsDelegate ----
   ConnectionId connect_core(ServerId server) override;
@@ -128,7 +130,7 @@
   DescriptorBudget budget_;
   edge::CallManager call_manager_;
   CallerSide callers_;
-  list::Book book_;
+  list::ServerTable book_;
   list::EventOrder order_;
   std::map<ServerId, CoreServer> cores_;
   CoreCounters core_counters_;
--- a/src/platform/topology.cpp
+++ b/src/platform/topology.cpp
@@ -64,7 +64,7 @@
     try {
       out.update.entries.push_back(parse_host((*hosts)[i], kinds));
     } catch (const std::exception& error) {
-      out.update.faults.push_back("host " + std::to_string(i) + ": " + error.what());
+      out.update.errors.push_back("host " + std::to_string(i) + ": " + error.what());
     }
   }
   return out;
--- a/src/platform/topology.hpp
+++ b/src/platform/topology.hpp
@@ -9,13 +9,13 @@
 #include <string>
 #include <vector>
 
-#include "list/pool_list.hpp"
+#include "list/server_list.hpp"
 
 namespace mintrock::platform {
 
 struct TopologyEvent {
   std::uint64_t offset = 0;  // the event's number; equal to update.revision
-  list::News update;
+  list::Update update;
 };
 
 // `kinds` are the names of the machine kinds; an entry's kind is its index there.
--- a/tests/edge/edge_test.cpp
+++ b/tests/edge/edge_test.cpp
@@ -201,11 +201,11 @@
   }
 
   std::string list_update(std::uint64_t revision, bool full, ServerEntry::State server_state) {
-    list::News update;
+    list::Update update;
     update.revision = revision;
     update.full = full;
     update.entries = {{core.host, core_at.str(), 0, 0, 1, server_state, 0}};
-    return list::print_news(update);
+    return list::print_update(update);
   }
   void publish(std::uint64_t revision, ServerEntry::State server_state) {
     for (auto& each : subscribers)
--- a/tests/platform/platform_edge_test.cpp
+++ b/tests/platform/platform_edge_test.cpp
@@ -14,7 +14,7 @@
 #include <optional>
 #include <set>
 
-#include "instance/hearsay.hpp"
+#include "instance/gossip.hpp"
 
 namespace mintrock::platform {
 namespace {
@@ -109,11 +109,11 @@
   static std::string setup_bytes(std::uint64_t id, const char* service_class = "status",
                                  const char* left = "1500", const char* figures = "dest:0;width:1;via:-1",
                                  const char* description = "offer") {
-    return write_message(CallerType::kSetup, id,
+    return write_message(CallerMessageType::kSetup, id,
                          {{Parameter::kClass, service_class},
-                          {Parameter::kLeft, left},
-                          {Parameter::kNumber, "7f3a9c21e0b4d655"},
-                          {Parameter::kFigures, figures},
+                          {Parameter::kTimeLeft, left},
+                          {Parameter::kCalledNumber, "7f3a9c21e0b4d655"},
+                          {Parameter::kAttributes, figures},
                           {Parameter::kDescription, description}});
   }
   struct Message {
@@ -132,7 +132,7 @@
     for (const Message& each : received) out += each.call == call;
     return out;
   }
-  MessageCutter cutter;
+  MessageParser cutter;
   std::vector<Message> received;
   bool closed = false;
   std::size_t asked = 0;  // set-ups sent, in tests that count them
@@ -410,7 +410,7 @@
   fixture.edge->drain();
   caller.setup(8);     // within the time in which new set-ups are still accepted
   fixture.loop.run();  // ends by itself
-  EXPECT_EQ(fixture.edge->callers().open(), 0u);
+  EXPECT_EQ(fixture.edge->callers().open_setups(), 0u);
   fixture.edge.reset();
   fixture.until([&] { return caller.count(9) == 2; });
   EXPECT_EQ(caller.count(9), 2u);
@@ -443,21 +443,21 @@
   caller.setup(7);
   ASSERT_TRUE(fixture.until([&] { return caller.count(9) == 1 && !payloads.empty(); }));
   EXPECT_LE(payloads[0].size(), 256u);
-  std::vector<GossipEntry> hearsay = instance::unpack_hearsay(payloads[0]);
+  std::vector<GossipEntry> hearsay = instance::unpack_gossip(payloads[0]);
   ASSERT_EQ(hearsay.size(), 1u);
   hearsay[0].wait_s = 30;  // of that server, just now
   hearsay[0].age_s = 0;
-  unknown_peer->send(instance::pack_hearsay(hearsay), own);
+  unknown_peer->send(instance::pack_gossip(hearsay), own);
   unknown_peer->send("noise", own);
   caller.setup(8);
   ASSERT_TRUE(fixture.until([&] { return caller.count(9) == 2; }))
       << "a datagram from an unknown address is ignored";
   peer->send("noise", own);
   peer->send(std::string(1000, 'x'), own);
-  peer->send(instance::pack_hearsay(hearsay), own);
+  peer->send(instance::pack_gossip(hearsay), own);
   std::uint64_t id = 9;
   EXPECT_TRUE(fixture.until([&] {
-    if (fixture.edge->callers().open() == 0) caller.setup(id++);
+    if (fixture.edge->callers().open_setups() == 0) caller.setup(id++);
     return caller.count(12) > 0;
   }));
 }
@@ -478,9 +478,9 @@
     ASSERT_TRUE(fixture.until([&] { return own.count(12) == times; }));
     EXPECT_EQ(own.received.back().call, 0xaau);
   }
-  EXPECT_EQ(fixture.edge->callers().standing(), 1u) << "the other caller's";
+  EXPECT_EQ(fixture.edge->callers().established(), 1u) << "the other caller's";
   caller.setup(0xbb, "status", "1500", "at:s-1");
-  ASSERT_TRUE(fixture.until([&] { return fixture.edge->callers().counts().messages == 4; }));
+  ASSERT_TRUE(fixture.until([&] { return fixture.edge->callers().counters().messages == 4; }));
   EXPECT_EQ(fixture.core.count("setup"), 1u) << "no attempt";
   caller.stream->write(write_release(0xbb, 16));
   EXPECT_TRUE(fixture.until([&] { return fixture.core.count("release") == 1; }));
@@ -518,7 +518,8 @@
     ASSERT_LT(id, 20000u);
     caller.setup(id);
     ASSERT_TRUE(fixture.until([&] {
-      return fixture.edge->callers().open() == 0 && fixture.edge->call_manager().counters().offered == id;
+      return fixture.edge->callers().open_setups() == 0 &&
+             fixture.edge->call_manager().counters().offered == id;
     }));
     if (id % 10 != 0 || established.empty()) continue;
     const std::string ended = *established.begin();
@@ -654,7 +655,7 @@
   Fixture fixture;
   Caller caller(fixture.loop, fixture.edge->listening());
   caller.setup(0xbb, "status", "1500", "at:s-2");
-  ASSERT_TRUE(fixture.until([&] { return fixture.edge->callers().counts().messages == 1; }));
+  ASSERT_TRUE(fixture.until([&] { return fixture.edge->callers().counters().messages == 1; }));
   EXPECT_TRUE(caller.received.empty());
   ASSERT_TRUE(subscribed(fixture, 1));
   fixture.bus.streams[0]->write(fixture.event(2, json::array({serving("s-2", fixture.second)})));
@@ -662,7 +663,7 @@
   fixture.second.send(0, R"({"type":"release","id":"00000000000000bb","fields":{},"cause":16})");
   ASSERT_TRUE(fixture.until([&] { return caller.count(12) == 1; }));
   EXPECT_EQ(caller.received.back().cause, 16);
-  EXPECT_EQ(fixture.edge->callers().standing(), 0u);
+  EXPECT_EQ(fixture.edge->callers().established(), 0u);
 }
 
 TEST(PlatformEdge, EndsTakenOverCallOfServerThatIsNeverListed) {
@@ -683,7 +684,7 @@
   fixture.edge->drain();
   fixture.loop.after(11, [&] { fixture.loop.stop(); });
   fixture.loop.run();
-  EXPECT_EQ(fixture.edge->callers().open(), 0u);
+  EXPECT_EQ(fixture.edge->callers().open_setups(), 0u);
   return fixture.loop.now() - started;
 }
 
