--- a/src/lab/soak/callers.cpp
+++ b/src/lab/soak/callers.cpp
@@ -12,19 +12,19 @@
 using platform::CallerType;
 using platform::Parameter;
 
-constexpr std::size_t kMostUnsent = 1 << 20;  // bytes
-constexpr double kIdleCloses = 4.0;           // s
-constexpr double kConnectAgain = 0.05;        // s
-// A set-up that was written this short a time before its connection's end may have crossed it.
-constexpr double kCrossing = 0.1;     // s
-constexpr double kPieceEvery = 0.01;  // s
-constexpr int kTestPassed = 1;        // the cause of a test's result
+constexpr std::size_t kMaxUnsentBytes = 1 << 20;
+constexpr double kIdleTimeout = 4.0;      // s
+constexpr double kReconnectDelay = 0.05;  // s
+// A set-up that was written this shortly before the connection's close may have crossed it.
+constexpr double kCrossingTime = 0.1;    // s
+constexpr double kPieceInterval = 0.01;  // s
+constexpr int kTestPassed = 1;           // as the cause in a test result
 
-std::string setup_bytes(std::uint64_t id, const std::string& service_class, double left_s,
+std::string setup_bytes(std::uint64_t id, const std::string& service_class, double remaining_s,
                         const std::string& figures) {
   return write_message(CallerType::kSetup, id,
                        {{Parameter::kClass, service_class},
-                        {Parameter::kLeft, std::to_string(static_cast<int>(left_s * 1000))},
+                        {Parameter::kLeft, std::to_string(static_cast<int>(remaining_s * 1000))},
                         {Parameter::kNumber, platform::hex_id(id)},
                         {Parameter::kFigures, figures},
                         {Parameter::kDescription, "offer"}});
@@ -32,16 +32,16 @@
 
 }  // namespace
 
-Callers::Callers(net::Loop& loop, Ledger& ledger, std::size_t edge, net::Address to,
-                 std::vector<CallClass> classes, const CallerHabits& habits, std::uint64_t seed)
+Callers::Callers(net::Loop& loop, RuleChecker& checker, std::size_t edge, net::Address to,
+                 std::vector<CallClass> classes, const CallerBehaviour& behaviour, std::uint64_t seed)
     : loop_(loop),
-      ledger_(ledger),
+      checker_(checker),
       edge_(edge),
       to_(to),
       classes_(std::move(classes)),
-      habits_(habits),
+      behaviour_(behaviour),
       random_(seed) {
-  later(0, [this] { tick(); });
+  run_after(0, [this] { tick(); });
 }
 
 Callers::~Callers() {
@@ -49,9 +49,9 @@
   for (auto& [id, connection] : connections_) connection.stream->close();
 }
 
-void Callers::later(double seconds, std::function<void()> what) {
-  loop_.after(seconds, [alive = alive_, what = std::move(what)] {
-    if (*alive) what();
+void Callers::run_after(double seconds, std::function<void()> task) {
+  loop_.after(seconds, [alive = alive_, task = std::move(task)] {
+    if (*alive) task();
   });
 }
 
@@ -59,28 +59,29 @@
   const double now = loop_.now();
   for (auto it = connections_.begin(); it != connections_.end();) {
     const std::size_t id = it->first;
-    const bool busy = std::any_of(open_.begin(), open_.end(),
+    const bool busy = std::any_of(open_setups_.begin(), open_setups_.end(),
                                   [&](const auto& each) { return each.second.connection == id; });
     const Connection& connection = it->second;
-    // A caller whose call stands does not go without hearing of its end: one connection is left.
-    const bool last = connections_.size() == 1 && !standing_.empty();
-    if (busy || last || !connection.rest.empty() || !connection.up || now < connection.active + kIdleCloses) {
+    // One connection stays open while calls are established, for the callers to be notified of their end.
+    const bool keep_open = connections_.size() == 1 && !established_.empty();
+    if (busy || keep_open || !connection.unsent.empty() || !connection.up ||
+        now < connection.last_active + kIdleTimeout) {
       ++it;
       continue;
     }
     connection.stream->close();
     it = connections_.erase(it);
   }
-  if (ready_ && calling_) call();
-  if (ready_ && may_connect_ && connections_.empty() && !standing_.empty()) connect();
-  later(std::exponential_distribution<>(habits_.calls_per_s)(random_), [this] { tick(); });
+  if (ready_ && calling_) place_call();
+  if (ready_ && may_connect_ && connections_.empty() && !established_.empty()) connect();
+  run_after(std::exponential_distribution<>(behaviour_.calls_per_s)(random_), [this] { tick(); });
 }
 
-void Callers::crowd(double times, std::size_t connections, double seconds) {
-  const CallerHabits usual = habits_;
-  habits_.calls_per_s *= times;
-  habits_.connections = connections;
-  later(seconds, [this, usual] { habits_ = usual; });
+void Callers::flood(double factor, std::size_t connections, double seconds) {
+  const CallerBehaviour previous = behaviour_;
+  behaviour_.calls_per_s *= factor;
+  behaviour_.connections = connections;
+  run_after(seconds, [this, previous] { behaviour_ = previous; });
 }
 
 void Callers::edge_started() {
@@ -91,8 +92,8 @@
 void Callers::edge_stopped(bool planned) {
   may_connect_ = false;
   ready_ = false;
-  ledger_.edge_stopped(edge_, planned, loop_.now());
-  open_.clear();
+  checker_.edge_stopped(edge_, planned, loop_.now());
+  open_setups_.clear();
   for (auto& [id, connection] : std::exchange(connections_, {})) {
     connection.stream->set({});
     connection.stream->close();
@@ -100,167 +101,175 @@
 }
 
 std::size_t Callers::connect() {
-  const std::size_t id = ++last_connection_;
+  const std::size_t id = ++last_connection_id_;
   Connection& connection = connections_[id];
-  connection.stream = net::Stream::connect(loop_, to_, kMostUnsent);
-  connection.stream->set({[this, id] { connected(id); },
+  connection.stream = net::Stream::connect(loop_, to_, kMaxUnsentBytes);
+  connection.stream->set({[this, id] { on_connected(id); },
                           [this, id](std::string_view bytes) {
-                            connections_.at(id).cutter.feed(bytes);
+                            connections_.at(id).message_reader.feed(bytes);
                             while (connections_.count(id) != 0) {
-                              const auto message = connections_.at(id).cutter.next();
+                              const auto message = connections_.at(id).message_reader.next();
                               if (!message) return;
-                              take(id, *message);
+                              handle_message(id, *message);
                             }
                           },
-                          [this, id](const std::string&) { closed(id); }});
+                          [this, id](const std::string&) { on_closed(id); }});
   return id;
 }
 
-void Callers::connected(std::size_t id) {
+void Callers::on_connected(std::size_t id) {
   Connection& connection = connections_.at(id);
   connection.up = true;
-  connection.active = loop_.now();
+  connection.last_active = loop_.now();
   if (!ready_) connection.stream->write(write_message(CallerType::kTest, 1, {}));
 }
 
-std::size_t Callers::usable_connection() {
+std::size_t Callers::pick_connection() {
   std::vector<std::size_t> free;
   for (const auto& [id, connection] : connections_) {
-    if (connection.up && connection.rest.empty()) free.push_back(id);
+    if (connection.up && connection.unsent.empty()) free.push_back(id);
   }
-  if (may_connect_ && connections_.size() < habits_.connections) connect();
+  if (may_connect_ && connections_.size() < behaviour_.connections) connect();
   if (free.empty()) return 0;
   return free[random_() % free.size()];
 }
 
-void Callers::call() {
-  const std::size_t on = usable_connection();
-  if (on == 0) return;
+void Callers::place_call() {
+  const std::size_t connection_id = pick_connection();
+  if (connection_id == 0) return;
   const std::uint64_t id = random_() | 1;
-  const CallClass& kind = classes_[random_() % classes_.size()];
-  const std::string bytes = setup_bytes(id, kind.name, kind.deadline_s, "dest:0;width:1;via:-1");
-  Connection& connection = connections_.at(on);
-  connection.active = loop_.now();
-  if (draw(0, 1) < habits_.half_closed) {
+  const CallClass& call_class = classes_[random_() % classes_.size()];
+  const std::string bytes = setup_bytes(id, call_class.name, call_class.deadline_s, "dest:0;width:1;via:-1");
+  Connection& connection = connections_.at(connection_id);
+  connection.last_active = loop_.now();
+  if (draw(0, 1) < behaviour_.closed_mid_setup) {
     connection.stream->write(std::string_view(bytes).substr(0, bytes.size() / 2));
     connection.stream->close_after_flush();
-    return abandon(on);
+    return abandon_connection(connection_id);
   }
-  if (draw(0, 1) < habits_.in_pieces) return write_in_pieces(on, id, bytes, kind.deadline_s);
+  if (draw(0, 1) < behaviour_.sent_in_pieces)
+    return send_in_pieces(connection_id, id, bytes, call_class.deadline_s);
   connection.stream->write(bytes);
-  open_[id] = {on, loop_.now()};
-  taken_ += 1;
-  ledger_.taken(id, edge_, kind.deadline_s, loop_.now());
-  const double what = draw(0, 1);
-  const double when = draw(0.01, std::min(1.0, kind.deadline_s));
-  if (what < habits_.gives_up) {
-    later(when, [this, id, on] {
-      if (open_.count(id) == 0 || connections_.count(on) == 0 || !connections_.at(on).rest.empty()) return;
-      connections_.at(on).stream->write(platform::write_release(id, platform::kCauseNormal));
-      leave(id);
+  open_setups_[id] = {connection_id, loop_.now()};
+  setups_sent_ += 1;
+  checker_.setup_sent(id, edge_, call_class.deadline_s, loop_.now());
+  const double choice = draw(0, 1);
+  const double delay = draw(0.01, std::min(1.0, call_class.deadline_s));
+  if (choice < behaviour_.abandoned) {
+    run_after(delay, [this, id, connection_id] {
+      if (open_setups_.count(id) == 0 || connections_.count(connection_id) == 0 ||
+          !connections_.at(connection_id).unsent.empty())
+        return;
+      connections_.at(connection_id).stream->write(platform::write_release(id, platform::kCauseNormal));
+      caller_left(id);
     });
-  } else if (what < habits_.gives_up + habits_.resets) {
-    later(when, [this, id, on] {
-      if (open_.count(id) == 0 || connections_.count(on) == 0) return;
-      connections_.at(on).stream->reset();
-      abandon(on);
+  } else if (choice < behaviour_.abandoned + behaviour_.connection_reset) {
+    run_after(delay, [this, id, connection_id] {
+      if (open_setups_.count(id) == 0 || connections_.count(connection_id) == 0) return;
+      connections_.at(connection_id).stream->reset();
+      abandon_connection(connection_id);
     });
   }
 }
 
-void Callers::write_in_pieces(std::size_t on, std::uint64_t id, std::string bytes, double waits_s) {
-  const auto found = connections_.find(on);
+void Callers::send_in_pieces(std::size_t connection_id, std::uint64_t id, std::string bytes,
+                             double deadline_s) {
+  const auto found = connections_.find(connection_id);
   if (found == connections_.end()) return;
   const std::size_t piece = std::min<std::size_t>(bytes.size(), 1 + random_() % 40);
   found->second.stream->write(std::string_view(bytes).substr(0, piece));
-  found->second.rest = bytes.substr(piece);
-  if (!found->second.rest.empty()) {
-    later(kPieceEvery,
-          [this, on, id, rest = found->second.rest, waits_s] { write_in_pieces(on, id, rest, waits_s); });
+  found->second.unsent = bytes.substr(piece);
+  if (!found->second.unsent.empty()) {
+    run_after(kPieceInterval, [this, connection_id, id, unsent = found->second.unsent, deadline_s] {
+      send_in_pieces(connection_id, id, unsent, deadline_s);
+    });
     return;
   }
-  open_[id] = {on, loop_.now()};
-  taken_ += 1;
-  ledger_.taken(id, edge_, waits_s, loop_.now());
+  open_setups_[id] = {connection_id, loop_.now()};
+  setups_sent_ += 1;
+  checker_.setup_sent(id, edge_, deadline_s, loop_.now());
 }
 
-// Closed from here: the callers whose set-ups are open on it have left with it.
-void Callers::abandon(std::size_t connection) {
+// Forgets a connection that the callers' side has closed: the callers of its open set-ups have left.
+void Callers::abandon_connection(std::size_t connection) {
   connections_.at(connection).stream->set({});
   connections_.erase(connection);
-  std::vector<std::uint64_t> gone;
-  for (const auto& [id, open] : open_) {
-    if (open.connection == connection) gone.push_back(id);
+  std::vector<std::uint64_t> lost;
+  for (const auto& [id, open] : open_setups_) {
+    if (open.connection == connection) lost.push_back(id);
   }
-  for (const std::uint64_t id : gone) leave(id);
+  for (const std::uint64_t id : lost) caller_left(id);
 }
 
-void Callers::leave(std::uint64_t id) {
-  open_.erase(id);
-  standing_.erase(id);
-  ledger_.caller_left(id, loop_.now());
+void Callers::caller_left(std::uint64_t id) {
+  open_setups_.erase(id);
+  established_.erase(id);
+  checker_.caller_left(id, loop_.now());
 }
 
-void Callers::take(std::size_t connection, const platform::CallerMessage& message) {
+void Callers::handle_message(std::size_t connection, const platform::CallerMessage& message) {
   const double now = loop_.now();
-  connections_.at(connection).active = now;
+  connections_.at(connection).last_active = now;
   switch (static_cast<CallerType>(message.type)) {
     case CallerType::kTestResult: {
       if (ready_ || read_cause(message) != kTestPassed) return;
       ready_ = true;
-      for (const auto& [id, server] : standing_) {
+      for (const auto& [id, server] : established_) {
         connections_.at(connection)
             .stream->write(setup_bytes(id, classes_[0].name, classes_[0].deadline_s, "dest:0;at:" + server));
-        ledger_.handed_over(id, now);
+        checker_.handed_over(id, now);
       }
       return;
     }
     case CallerType::kAnswer:
-      return answered(message.call, std::string(message.find(Parameter::kDescription)));
+      return on_answer(message.call, std::string(message.find(Parameter::kDescription)));
     case CallerType::kRelease: {
-      if (standing_.erase(message.call) != 0) return ledger_.told_over(message.call, now);
-      if (open_.erase(message.call) == 0) return;  // told over twice, or it crossed
+      if (established_.erase(message.call) != 0) return checker_.end_notified(message.call, now);
+      if (open_setups_.erase(message.call) == 0)
+        return;  // a second notification, or it crossed the caller's release
       const int cause = read_cause(message);
       const bool refused = cause == platform::kCauseNoCircuit || cause == platform::kCauseCongestion ||
                            cause == platform::kCauseTimer;
-      return ledger_.answered(message.call, refused ? FinalAnswer::kRefused : FinalAnswer::kFailed, "", now);
+      return checker_.final_answer_received(message.call,
+                                            refused ? FinalAnswer::kRefused : FinalAnswer::kFailed, "", now);
     }
     default:
       return;
   }
 }
 
-void Callers::answered(std::uint64_t id, std::string description) {
-  ledger_.answered(id, FinalAnswer::kServed, description, loop_.now());
-  if (open_.erase(id) == 0) return;
+void Callers::on_answer(std::uint64_t id, std::string description) {
+  checker_.final_answer_received(id, FinalAnswer::kServed, description, loop_.now());
+  if (open_setups_.erase(id) == 0) return;
   std::istringstream words(description);
   std::string word, server;
   words >> word >> word >> server;
-  standing_[id] = server;
-  if (draw(0, 1) >= habits_.hangs_up) return;
-  later(draw(0.05, 1.0), [this, id] {
-    if (standing_.count(id) == 0 || !ready_) return;
-    const auto up = std::find_if(connections_.begin(), connections_.end(),
-                                 [](const auto& each) { return each.second.up && each.second.rest.empty(); });
-    if (up == connections_.end()) return;
-    up->second.stream->write(platform::write_release(id, platform::kCauseNormal));
-    leave(id);
+  established_[id] = server;
+  if (draw(0, 1) >= behaviour_.hung_up) return;
+  run_after(draw(0.05, 1.0), [this, id] {
+    if (established_.count(id) == 0 || !ready_) return;
+    const auto usable = std::find_if(connections_.begin(), connections_.end(), [](const auto& each) {
+      return each.second.up && each.second.unsent.empty();
+    });
+    if (usable == connections_.end()) return;
+    usable->second.stream->write(platform::write_release(id, platform::kCauseNormal));
+    caller_left(id);
   });
 }
 
-void Callers::closed(std::size_t connection) {
+void Callers::on_closed(std::size_t connection) {
   const double now = loop_.now();
   connections_.erase(connection);
-  std::vector<std::pair<std::uint64_t, Open>> gone;
-  for (const auto& each : open_) {
-    if (each.second.connection == connection) gone.push_back(each);
+  std::vector<std::pair<std::uint64_t, OpenSetup>> lost;
+  for (const auto& each : open_setups_) {
+    if (each.second.connection == connection) lost.push_back(each);
   }
-  for (const auto& [id, open] : gone) {
-    ledger_.closed_unanswered(id, now < open.written + kCrossing, now);
-    open_.erase(id);
+  for (const auto& [id, open] : lost) {
+    checker_.closed_unanswered(id, now < open.written_at + kCrossingTime, now);
+    open_setups_.erase(id);
   }
   if (!ready_ && may_connect_) {
-    later(kConnectAgain, [this] {
+    run_after(kReconnectDelay, [this] {
       if (!ready_ && may_connect_ && connections_.empty()) connect();
     });
   }
--- a/src/lab/soak/command.hpp
+++ b/src/lab/soak/command.hpp
@@ -10,8 +10,8 @@
 
 namespace mintrock::lab::soak {
 
-// Adds the command to `app`. Its trials run `edge_program` unless told otherwise; `status` becomes 1 once a
-// rule is broken.
+// Adds the command to `app`. Its trials run `edge_program` unless --edge names another; `status` becomes 1
+// once a rule is broken.
 void add_command(CLI::App& app, const std::string& edge_program, int& status);
 
 }  // namespace mintrock::lab::soak
--- a/src/lab/soak/discovery.cpp
+++ b/src/lab/soak/discovery.cpp
@@ -8,35 +8,35 @@
 
 using nlohmann::json;
 
-constexpr std::size_t kMostUnsent = 1 << 20;  // bytes
-constexpr double kCommentEvery = 1.0;         // s
-constexpr double kOldAddressCloses = 1.5;     // s after a move
+constexpr std::size_t kMaxUnsentBytes = 1 << 20;
+constexpr double kKeepaliveInterval = 1.0;     // s
+constexpr double kOldAddressCloseDelay = 1.5;  // s after a change of address
 
-json event(std::uint64_t offset, const std::vector<Host>& hosts, bool whole) {
-  json list = json::array();
+json event(std::uint64_t offset, const std::vector<Host>& hosts, bool full_list) {
+  json host_entries = json::array();
   for (const Host& each : hosts) {
-    list.push_back({{"host", each.name},
-                    {"dial", each.address.str()},
-                    {"site", "east"},
-                    {"class", "small"},
-                    {"block", 0},
-                    {"health", each.health},
-                    {"share", 1},
-                    {"born_ms", each.born_ms}});
+    host_entries.push_back({{"host", each.name},
+                            {"dial", each.address.str()},
+                            {"site", "east"},
+                            {"class", "small"},
+                            {"block", 0},
+                            {"health", each.health},
+                            {"share", 1},
+                            {"born_ms", each.born_ms}});
   }
-  return {{"offset", offset}, {"topology", {{"seq", offset}, {"whole", whole}, {"hosts", list}}}};
+  return {{"offset", offset}, {"topology", {{"seq", offset}, {"whole", full_list}, {"hosts", host_entries}}}};
 }
 
 }  // namespace
 
 Discovery::Discovery(net::Loop& loop, std::uint32_t ip) : loop_(loop), address_{ip, 0} {
   listen();
-  comment();
+  send_keepalives();
 }
 
 Discovery::~Discovery() {
   *alive_ = false;
-  for (auto& [id, watcher] : watchers_) watcher.stream->close();
+  for (auto& [id, subscriber] : subscribers_) subscriber.stream->close();
 }
 
 void Discovery::listen() {
@@ -46,77 +46,77 @@
 }
 
 json Discovery::start(const std::vector<Host>& hosts) {
-  for (auto& [id, watcher] : watchers_) watcher.stream->close();
-  watchers_.clear();
+  for (auto& [id, subscriber] : subscribers_) subscriber.stream->close();
+  subscribers_.clear();
   const json first = event(1, hosts, true);
   events_ = {first.dump()};
   return {{"offset", 1}, {"batch", json::array({first})}};
 }
 
-void Discovery::tell(const std::vector<Host>& changes) {
+void Discovery::publish(const std::vector<Host>& changes) {
   events_.push_back(event(events_.size() + 1, changes, false).dump());
-  for (auto& [id, watcher] : watchers_) pump(id);
+  for (auto& [id, subscriber] : subscribers_) send_events(id);
 }
 
 void Discovery::accept(int fd, net::Address from) {
-  const std::size_t id = ++last_;
-  watchers_[id].stream = net::Stream::adopt(loop_, fd, from, kMostUnsent);
-  watchers_[id].stream->set({{},
-                             [this, id](std::string_view bytes) { request(id, bytes); },
-                             [this, id](const std::string&) { watchers_.erase(id); }});
+  const std::size_t id = ++last_id_;
+  subscribers_[id].stream = net::Stream::adopt(loop_, fd, from, kMaxUnsentBytes);
+  subscribers_[id].stream->set({{},
+                                [this, id](std::string_view bytes) { handle_request(id, bytes); },
+                                [this, id](const std::string&) { subscribers_.erase(id); }});
 }
 
-void Discovery::request(std::size_t id, std::string_view bytes) {
-  Watcher& watcher = watchers_.at(id);
-  watcher.request += bytes;
-  if (watcher.begun || watcher.request.find("\r\n\r\n") == std::string::npos) return;
-  watcher.begun = true;
+void Discovery::handle_request(std::size_t id, std::string_view bytes) {
+  Subscriber& subscriber = subscribers_.at(id);
+  subscriber.request += bytes;
+  if (subscriber.response_started || subscriber.request.find("\r\n\r\n") == std::string::npos) return;
+  subscriber.response_started = true;
   constexpr std::string_view kHeader = "Last-Event-ID: ";
-  const std::size_t at = watcher.request.find(kHeader);
+  const std::size_t at = subscriber.request.find(kHeader);
   if (at != std::string::npos) {
-    watcher.next = std::strtoul(watcher.request.c_str() + at + kHeader.size(), nullptr, 10);
+    subscriber.next_event = std::strtoul(subscriber.request.c_str() + at + kHeader.size(), nullptr, 10);
   }
-  watcher.stream->write("HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n");
-  pump(id);
+  subscriber.stream->write("HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n");
+  send_events(id);
 }
 
-void Discovery::pump(std::size_t id) {
-  Watcher& watcher = watchers_.at(id);
-  if (!watcher.begun || watcher.silent) return;
-  for (; watcher.next < events_.size(); ++watcher.next) {
-    watcher.stream->write("id: " + std::to_string(watcher.next + 1) + "\ndata: " + events_[watcher.next] +
-                          "\n\n");
+void Discovery::send_events(std::size_t id) {
+  Subscriber& subscriber = subscribers_.at(id);
+  if (!subscriber.response_started || subscriber.silent) return;
+  for (; subscriber.next_event < events_.size(); ++subscriber.next_event) {
+    subscriber.stream->write("id: " + std::to_string(subscriber.next_event + 1) +
+                             "\ndata: " + events_[subscriber.next_event] + "\n\n");
   }
 }
 
-void Discovery::comment() {
-  for (auto& [id, watcher] : watchers_) {
-    if (watcher.begun && !watcher.silent) watcher.stream->write(": still here\n\n");
+void Discovery::send_keepalives() {
+  for (auto& [id, subscriber] : subscribers_) {
+    if (subscriber.response_started && !subscriber.silent) subscriber.stream->write(": still here\n\n");
   }
-  loop_.after(kCommentEvery, [this, alive = alive_] {
-    if (*alive) comment();
+  loop_.after(kKeepaliveInterval, [this, alive = alive_] {
+    if (*alive) send_keepalives();
   });
 }
 
-void Discovery::move() {
-  for (auto& [id, watcher] : watchers_) {
-    watcher.silent = true;
-    loop_.after(kOldAddressCloses, [stream = watcher.stream] { stream->close(); });
+void Discovery::change_address() {
+  for (auto& [id, subscriber] : subscribers_) {
+    subscriber.silent = true;
+    loop_.after(kOldAddressCloseDelay, [stream = subscriber.stream] { stream->close(); });
   }
   listener_.reset();
   address_.port = 0;
   listen();
 }
 
-void Discovery::fall_silent() {
-  for (auto& [id, watcher] : watchers_) watcher.silent = true;
+void Discovery::go_silent() {
+  for (auto& [id, subscriber] : subscribers_) subscriber.silent = true;
 }
 
-void Discovery::break_off() {
-  for (auto& [id, watcher] : std::exchange(watchers_, {})) {
-    watcher.stream->set({});
-    watcher.stream->write("id: 999\ndata: {\"offs");
-    watcher.stream->close_after_flush();
+void Discovery::break_connections() {
+  for (auto& [id, subscriber] : std::exchange(subscribers_, {})) {
+    subscriber.stream->set({});
+    subscriber.stream->write("id: 999\ndata: {\"offs");
+    subscriber.stream->close_after_flush();
   }
 }
 
@@ -126,9 +126,9 @@
     return;
   }
   listener_.reset();
-  for (auto& [id, watcher] : std::exchange(watchers_, {})) {
-    watcher.stream->set({});
-    watcher.stream->close();
+  for (auto& [id, subscriber] : std::exchange(subscribers_, {})) {
+    subscriber.stream->set({});
+    subscriber.stream->close();
   }
 }
 
--- a/src/lab/soak/discovery.hpp
+++ b/src/lab/soak/discovery.hpp
@@ -1,5 +1,5 @@
-// Discovery as one edge proxy meets it in a soak: numbered events, counted anew from each start of the proxy,
-// told over server-sent events, with the faults of the platform's pages.
+// The discovery service of one edge proxy in a soak: a stream of server-sent events, numbered from 1 after
+// each start of the edge proxy, with the faults of the platform's specification.
 #ifndef MINTROCK_SRC_LAB_SOAK_DISCOVERY_HPP_
 #define MINTROCK_SRC_LAB_SOAK_DISCOVERY_HPP_
 
@@ -18,49 +18,52 @@
   std::string name;
   net::Address address;
   std::string health;        // SERVING, DRAINING or DELETED
-  std::int64_t born_ms = 0;  // of a late start; 0: none
+  std::int64_t born_ms = 0;  // start time in ms since the Unix epoch; 0: there from the beginning
 };
 
 class Discovery {
  public:
-  // Listens on free ports of this loopback address.
+  // Listens on free ports of the loopback address `ip`.
   Discovery(net::Loop& loop, std::uint32_t ip);
   ~Discovery();
 
-  // The edge proxy starts: the list now, as its configuration keeps it under `known`.
+  // To be called when the edge proxy starts: drops the event history and returns the current server list as
+  // its configuration holds it under `known`.
   nlohmann::json start(const std::vector<Host>& hosts);
-  void tell(const std::vector<Host>& changes);
+  void publish(const std::vector<Host>& changes);
 
   net::Address address() const { return address_; }
-  // New connections go to a new address; the old one tells nothing more and closes after 1.5 s.
-  void move();
-  // Says nothing on the connections that are open now.
-  void fall_silent();
-  // Breaks the connections off, in the middle of an event.
-  void break_off();
-  // Nobody listens, and the connections end.
+  // Listens at a new address from now on. Connections to the old one get no further events and are closed
+  // after 1.5 s.
+  void change_address();
+  // Sends nothing more on the connections that are open now.
+  void go_silent();
+  // Closes the connections in the middle of an event.
+  void break_connections();
+  // While down, closes all connections and refuses new ones.
   void set_down(bool down);
 
  private:
-  struct Watcher {
+  // A connection of the edge proxy.
+  struct Subscriber {
     std::shared_ptr<net::Stream> stream;
     std::string request;
-    std::size_t next = 0;  // event that it is told next
+    std::size_t next_event = 0;  // index in events_ of the event to send next
     bool silent = false;
-    bool begun = false;
+    bool response_started = false;
   };
   void listen();
   void accept(int fd, net::Address from);
-  void request(std::size_t id, std::string_view bytes);
-  void pump(std::size_t id);
-  void comment();
+  void handle_request(std::size_t id, std::string_view bytes);
+  void send_events(std::size_t id);
+  void send_keepalives();
 
   net::Loop& loop_;
   net::Address address_;
   std::unique_ptr<net::Listener> listener_;
-  std::vector<std::string> events_;  // number 1 first
-  std::map<std::size_t, Watcher> watchers_;
-  std::size_t last_ = 0;
+  std::vector<std::string> events_;  // event number n is at index n - 1
+  std::map<std::size_t, Subscriber> subscribers_;
+  std::size_t last_id_ = 0;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
--- a/src/lab/soak/edge_process.cpp
+++ b/src/lab/soak/edge_process.cpp
@@ -14,7 +14,7 @@
 namespace mintrock::lab::soak {
 namespace {
 
-std::string describe(const std::string& what, int error) { return what + ": " + std::strerror(error); }
+std::string describe(const std::string& subject, int error) { return subject + ": " + std::strerror(error); }
 
 }  // namespace
 
@@ -39,51 +39,52 @@
   write_config(config.dump());
   const int log = open(log_file_.c_str(), O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, 0600);
   if (log < 0) throw StartError(describe(log_file_, errno));
-  // The child tells over it why the program can't be run; running the program closes it.
-  int failure[2];
-  if (pipe2(failure, O_CLOEXEC) != 0) {
+  // The child writes errno to this pipe if exec fails; a successful exec closes it (O_CLOEXEC).
+  int error_pipe[2];
+  if (pipe2(error_pipe, O_CLOEXEC) != 0) {
     const int error = errno;
     close(log);
     throw StartError(describe("pipe", error));
   }
   pid_ = fork();
   if (pid_ == 0) {
-    run_program(log, failure[1]);
+    exec_program(log, error_pipe[1]);
   }
   const int fork_error = errno;
   close(log);
-  close(failure[1]);
+  close(error_pipe[1]);
   int exec_error = 0;
-  const bool failed = pid_ > 0 && read(failure[0], &exec_error, sizeof exec_error) == sizeof exec_error;
-  close(failure[0]);
+  const bool exec_failed =
+      pid_ > 0 && read(error_pipe[0], &exec_error, sizeof exec_error) == sizeof exec_error;
+  close(error_pipe[0]);
   if (pid_ < 0) throw StartError(describe("fork", fork_error));
-  if (!failed) return;
+  if (!exec_failed) return;
   waitpid(std::exchange(pid_, 0), nullptr, 0);
   throw StartError(describe(program_, exec_error));
 }
 
-void EdgeProcess::run_program(int log, int failure) const {
+void EdgeProcess::exec_program(int log, int error_pipe) const {
   if (dup2(log, STDERR_FILENO) >= 0) {
     setenv("LB_CONFIG", config_file_.c_str(), 1);
     execl(program_.c_str(), program_.c_str(), "--platform", nullptr);
   }
   const int error = errno;
-  [[maybe_unused]] const ssize_t told = write(failure, &error, sizeof error);
+  [[maybe_unused]] const ssize_t written = write(error_pipe, &error, sizeof error);
   _exit(EXIT_FAILURE);
 }
 
-std::string EdgeProcess::last_words() const {
+std::string EdgeProcess::last_log_line() const {
   std::ifstream log(log_file_);
-  std::string last;
-  for (std::string line; std::getline(log, line);) last = line;
-  return last;
+  std::string last_line;
+  for (std::string line; std::getline(log, line);) last_line = line;
+  return last_line;
 }
 
-void EdgeProcess::signal(int which) const {
-  if (pid_ > 0) kill(pid_, which);
+void EdgeProcess::signal(int number) const {
+  if (pid_ > 0) kill(pid_, number);
 }
 
-std::optional<int> EdgeProcess::ended() {
+std::optional<int> EdgeProcess::poll_exit() {
   int status = 0;
   if (pid_ <= 0 || waitpid(pid_, &status, WNOHANG) != pid_) return std::nullopt;
   pid_ = 0;
--- a/src/lab/soak/edge_process.hpp
+++ b/src/lab/soak/edge_process.hpp
@@ -1,5 +1,5 @@
-// One real mintrock-edge process of a soak: started as the platform starts it, under the same name and
-// address each time, and told to end by signals.
+// One real mintrock-edge process of a soak: started as the platform starts it, with the same name and address
+// each time, and stopped by signals.
 #ifndef MINTROCK_SRC_LAB_SOAK_EDGE_PROCESS_HPP_
 #define MINTROCK_SRC_LAB_SOAK_EDGE_PROCESS_HPP_
 
@@ -12,7 +12,7 @@
 
 namespace mintrock::lab::soak {
 
-// A proxy could not be started: nothing that it was to be judged by has happened.
+// An edge proxy could not be started: the trial ends without a result, as there is nothing to check.
 class StartError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
@@ -20,26 +20,26 @@
 
 class EdgeProcess {
  public:
-  // Its configuration and log lie in `dir`.
+  // Keeps the configuration and the log of the process in `dir`.
   EdgeProcess(std::string program, std::string dir, std::string name);
   ~EdgeProcess();
   EdgeProcess(const EdgeProcess&) = delete;
   EdgeProcess& operator=(const EdgeProcess&) = delete;
 
-  // Throws StartError naming the file where it can't be written.
+  // Throws StartError, which names the file, if it can't be written.
   void write_config(const std::string& text) const;
-  // Throws StartError where its files can't be written, there can be no further process, or the program can't
-  // be run.
+  // Throws StartError if the files can't be written, the process can't be created or the program can't be
+  // executed.
   void start(const nlohmann::json& config);
-  void signal(int which) const;
+  void signal(int number) const;
   bool running() const { return pid_ > 0; }
-  // The last line of its log; empty where there is none.
-  std::string last_words() const;
-  // Its exit status, as waitpid gives it, once it has ended; told once.
-  std::optional<int> ended();
+  // The last line of the log; empty if there is none.
+  std::string last_log_line() const;
+  // The exit status, as waitpid gives it, once the process has ended; returned only once.
+  std::optional<int> poll_exit();
 
  private:
-  [[noreturn]] void run_program(int log, int failure) const;
+  [[noreturn]] void exec_program(int log, int error_pipe) const;
 
   std::string program_;
   std::string config_file_;
--- a/src/lab/soak/soak.cpp
+++ b/src/lab/soak/soak.cpp
@@ -25,16 +25,17 @@
 
 using nlohmann::json;
 
-constexpr double kLook = 0.05;             // s between two looks at processes and the ledger
-constexpr double kLongestWait = 11;        // s for what is open at the end: 8 s and their slack
-constexpr double kLongestShutdown = 3;     // s that count of the longest deadline
-constexpr double kKillAfter = 0.7;         // s more until SIGKILL
-constexpr double kConnectsOn = 0.3;        // s after SIGTERM that new connections still come
-constexpr double kToldLate = 6.0;          // s until a change counts as told while discovery has faults
-constexpr double kBegins = 0.8;            // s until the first trouble
-constexpr std::size_t kSocketLimit = 512;  // descriptors of an edge proxy
-constexpr std::size_t kCrowdConnections = kSocketLimit / 3;  // callers hold no more
-constexpr double kReplacedAfter = 0.8;                       // s until the list tells that a server has gone
+constexpr double kPollInterval = 0.05;  // s between checks of the processes and the rules
+constexpr double kMaxFinalWait =
+    11;  // s for pending answers and notifications at the end: the limit of 8 s and slack
+constexpr double kMaxShutdownWait = 3;        // s after SIGTERM: at most so much for the longest deadline
+constexpr double kKillDelay = 0.7;            // s more until SIGKILL
+constexpr double kConnectAfterSigterm = 0.3;  // s after SIGTERM in which callers still open connections
+constexpr double kMaxDiscoveryDelay = 6.0;  // s until a change counts as reported while discovery has faults
+constexpr double kFirstFaultDelay = 0.8;    // s until the first fault
+constexpr std::size_t kSocketLimit = 512;   // file descriptors of an edge proxy
+constexpr std::size_t kFloodConnections = kSocketLimit / 3;  // maximum that its callers hold
+constexpr double kReplacementDelay = 0.8;  // s until the server list reports a stopped server as gone
 
 class Trial {
  public:
@@ -48,9 +49,9 @@
     std::unique_ptr<EdgeProcess> process;
     std::unique_ptr<Discovery> discovery;
     std::unique_ptr<Callers> callers;
-    bool ending = false;  // told to, or killed
-    bool planned = false;
-    std::uint64_t life = 0;
+    bool terminating = false;      // was sent SIGTERM, or killed
+    bool planned = false;          // was sent SIGTERM
+    std::uint64_t generation = 0;  // number of starts
   };
   struct Server {
     std::unique_ptr<CoreServer> process;
@@ -58,36 +59,36 @@
     std::int64_t born_ms = 0;
   };
 
-  double draw(double least, double most) { return std::uniform_real_distribution<>(least, most)(random_); }
+  double draw(double min, double max) { return std::uniform_real_distribution<>(min, max)(random_); }
   std::size_t pick(std::size_t below) { return random_() % below; }
-  void note(const std::string& what);
-  void later(double seconds, std::function<void()> what) { loop_.after(seconds, std::move(what)); }
+  void log_step(const std::string& step);
+  void run_after(double delay_s, std::function<void()> task) { loop_.after(delay_s, std::move(task)); }
   json config(Edge& edge, const json& known) const;
   std::vector<Host> hosts(const Edge& edge) const;
   Host host(const Server& server, std::size_t edge) const;
-  void add_server(bool late);
-  void tell(const Server& server);
+  void add_server(bool joins_late);
+  void publish(const Server& server);
   void start_edge(std::size_t edge);
-  void replace_ended();
-  // Does what may throw StartError from within the loop; such an error ends the trial.
-  void guarded(const std::function<void()>& what);
-  void look();
-  void trouble();
-  void shut_down(std::size_t edge);
+  void restart_exited();
+  // Runs `task` from within the event loop; a StartError that it throws ends the trial.
+  void run_guarded(const std::function<void()>& task);
+  void poll();
+  void inject_fault();
+  void shut_down_edge(std::size_t edge);
   void kill_edge(std::size_t edge);
-  void reload(std::size_t edge, int times);
-  void trouble_core_server();
-  void replace(Server& server);
-  void draw_dense_troubles();
-  void signal_series();
-  void signal_again(std::size_t edge, int times);
-  void crowd();
-  double draw_dense(double least, double most) {
-    return std::uniform_real_distribution<>(least, most)(dense_random_);
+  void reload_edge(std::size_t edge, int times);
+  void inject_core_server_fault();
+  void replace_server(Server& server);
+  void schedule_dense_faults();
+  void run_signal_series();
+  void send_more_signals(std::size_t edge, int times);
+  void flood_connections();
+  double draw_dense(double min, double max) {
+    return std::uniform_real_distribution<>(min, max)(dense_random_);
   }
-  void trouble_network();
-  void trouble_discovery();
-  std::vector<Server*> serving();
+  void inject_network_fault();
+  void inject_discovery_fault();
+  std::vector<Server*> serving_servers();
 
   Options options_;
   net::Loop loop_;
@@ -96,13 +97,13 @@
   std::mt19937_64 random_;
   std::mt19937_64 dense_random_;
   std::ofstream trace_;
-  Ledger ledger_;
+  RuleChecker checker_;
   std::vector<CallClass> classes_;
   double longest_deadline_ = 0;
   std::vector<Edge> edges_;
   std::vector<std::unique_ptr<Server>> servers_;
-  double begun_ = 0;
-  double discovery_well_from_ = 0;
+  double started_at_ = 0;
+  double discovery_reliable_from_ = 0;
   Report report_;
   std::exception_ptr start_error_;
 };
@@ -112,7 +113,7 @@
       random_(options.seed),
       dense_random_(~options.seed),
       trace_(options.dir + "/calls.trace"),
-      ledger_(options.limits, &trace_) {
+      checker_(options.limits, &trace_) {
   if (!trace_) throw StartError(options.dir + "/calls.trace: " + std::strerror(errno));
   const std::size_t count = 1 + pick(3);
   for (std::size_t i = 0; i < count; ++i) {
@@ -126,20 +127,20 @@
     edge.listen = {ip_, ports_.next()};
     edge.process = std::make_unique<EdgeProcess>(options_.edge_program, options_.dir, edge.name);
     edge.discovery = std::make_unique<Discovery>(loop_, ip_);
-    edge.callers =
-        std::make_unique<Callers>(loop_, ledger_, i, edge.listen, classes_, options_.habits, random_());
+    edge.callers = std::make_unique<Callers>(loop_, checker_, i, edge.listen, classes_,
+                                             options_.caller_behaviour, random_());
     edges_.push_back(std::move(edge));
   }
 }
 
-void Trial::note(const std::string& what) {
+void Trial::log_step(const std::string& step) {
   char time[32];
-  std::snprintf(time, sizeof time, "%.3f ", loop_.now() - begun_);
-  report_.timeline.push_back(time + what);
-  ledger_.note(what, loop_.now());
+  std::snprintf(time, sizeof time, "%.3f ", loop_.now() - started_at_);
+  report_.timeline.push_back(time + step);
+  checker_.trace_step(step, loop_.now());
 }
 
-// ---- Settings and list ----
+// ---- Settings and server list ----
 
 json Trial::config(Edge& edge, const json& known) const {
   json classes = json::array();
@@ -172,304 +173,309 @@
 }
 
 std::vector<Host> Trial::hosts(const Edge& edge) const {
-  const std::size_t at = static_cast<std::size_t>(&edge - edges_.data());
-  std::vector<Host> out;
+  const std::size_t index = static_cast<std::size_t>(&edge - edges_.data());
+  std::vector<Host> result;
   for (const auto& server : servers_) {
-    if (server->health != "DELETED") out.push_back(host(*server, at));
+    if (server->health != "DELETED") result.push_back(host(*server, index));
   }
-  return out;
+  return result;
 }
 
-void Trial::add_server(bool late) {
+void Trial::add_server(bool joins_late) {
   auto server = std::make_unique<Server>();
   char id[16];
   std::snprintf(id, sizeof id, "s-%08x", static_cast<unsigned>(random_()));
-  server->process =
-      std::make_unique<CoreServer>(loop_, ip_, ledger_, id, options_.edges, options_.behaviour, random_());
-  if (late) server->born_ms = static_cast<std::int64_t>(net::wall_now() * 1000);
+  server->process = std::make_unique<CoreServer>(loop_, ip_, checker_, id, options_.edges,
+                                                 options_.core_behaviour, random_());
+  if (joins_late) server->born_ms = static_cast<std::int64_t>(net::wall_now() * 1000);
   servers_.push_back(std::move(server));
 }
 
-void Trial::tell(const Server& server) {
-  note(server.process->name() + " " + server.health);
-  for (std::size_t i = 0; i < edges_.size(); ++i) edges_[i].discovery->tell({host(server, i)});
+void Trial::publish(const Server& server) {
+  log_step(server.process->name() + " " + server.health);
+  for (std::size_t i = 0; i < edges_.size(); ++i) edges_[i].discovery->publish({host(server, i)});
   if (server.health == "SERVING") return;
   const double now = loop_.now();
-  ledger_.told_unavailable(server.process->name(),
-                           std::max(now, std::min(now + kToldLate, discovery_well_from_)));
+  checker_.server_unavailable(server.process->name(),
+                              std::max(now, std::min(now + kMaxDiscoveryDelay, discovery_reliable_from_)));
 }
 
-std::vector<Trial::Server*> Trial::serving() {
-  std::vector<Server*> out;
+std::vector<Trial::Server*> Trial::serving_servers() {
+  std::vector<Server*> result;
   for (const auto& each : servers_) {
-    if (each->process->running() && each->health == "SERVING") out.push_back(each.get());
+    if (each->process->running() && each->health == "SERVING") result.push_back(each.get());
   }
-  return out;
+  return result;
 }
 
 // ---- Edge proxies ----
 
 void Trial::start_edge(std::size_t i) {
   Edge& edge = edges_[i];
-  edge.ending = edge.planned = false;
-  edge.life += 1;
-  note(edge.name + " started");
+  edge.terminating = edge.planned = false;
+  edge.generation += 1;
+  log_step(edge.name + " started");
   edge.process->start(config(edge, edge.discovery->start(hosts(edge))));
   edge.callers->edge_started();
 }
 
-void Trial::shut_down(std::size_t i) {
+void Trial::shut_down_edge(std::size_t i) {
   Edge& edge = edges_[i];
-  if (edge.ending || !edge.callers->ready()) return;
-  note(edge.name + " SIGTERM");
-  edge.ending = edge.planned = true;
+  if (edge.terminating || !edge.callers->ready()) return;
+  log_step(edge.name + " SIGTERM");
+  edge.terminating = edge.planned = true;
   edge.process->signal(SIGTERM);
-  const auto same_life = [this, i, life = edge.life] { return edges_[i].life == life; };
-  later(kConnectsOn, [this, i, same_life] {
-    if (same_life()) edges_[i].callers->edge_ending();
+  const auto same_generation = [this, i, generation = edge.generation] {
+    return edges_[i].generation == generation;
+  };
+  run_after(kConnectAfterSigterm, [this, i, same_generation] {
+    if (same_generation()) edges_[i].callers->edge_terminating();
   });
-  later(std::min(kLongestShutdown, longest_deadline_) + kKillAfter, [this, i, same_life] {
-    if (!same_life() || !edges_[i].process->running()) return;
-    note(edges_[i].name + " SIGKILL");
+  run_after(std::min(kMaxShutdownWait, longest_deadline_) + kKillDelay, [this, i, same_generation] {
+    if (!same_generation() || !edges_[i].process->running()) return;
+    log_step(edges_[i].name + " SIGKILL");
     edges_[i].process->signal(SIGKILL);
   });
 }
 
 void Trial::kill_edge(std::size_t i) {
   Edge& edge = edges_[i];
-  if (edge.ending || !edge.callers->ready()) return;
-  note(edge.name + " killed");
-  edge.ending = true;
+  if (edge.terminating || !edge.callers->ready()) return;
+  log_step(edge.name + " killed");
+  edge.terminating = true;
   edge.process->signal(SIGKILL);
-  edge.callers->edge_stopped(false);  // what it held is owed by nobody
+  edge.callers->edge_stopped(false);  // nobody has to answer for the calls that it held
 }
 
-void Trial::reload(std::size_t i, int times) {
+void Trial::reload_edge(std::size_t i, int times) {
   Edge& edge = edges_[i];
-  if (edge.ending || !edge.callers->ready() || times == 0) return;
-  note(edge.name + " SIGHUP");
-  edge.discovery->move();
-  discovery_well_from_ = loop_.now() + kToldLate;
+  if (edge.terminating || !edge.callers->ready() || times == 0) return;
+  log_step(edge.name + " SIGHUP");
+  edge.discovery->change_address();
+  discovery_reliable_from_ = loop_.now() + kMaxDiscoveryDelay;
   const std::string text = config(edge, {{"offset", 0}, {"batch", json::array()}}).dump();
-  guarded([&] { edge.process->write_config(text.substr(0, text.size() / 2)); });
+  run_guarded([&] { edge.process->write_config(text.substr(0, text.size() / 2)); });
   edge.process->signal(SIGHUP);
-  later(0.03, [this, i, text] { guarded([&] { edges_[i].process->write_config(text); }); });
-  later(draw(0.1, 0.6), [this, i, times] { reload(i, times - 1); });
+  run_after(0.03, [this, i, text] { run_guarded([&] { edges_[i].process->write_config(text); }); });
+  run_after(draw(0.1, 0.6), [this, i, times] { reload_edge(i, times - 1); });
 }
 
-void Trial::guarded(const std::function<void()>& what) {
+void Trial::run_guarded(const std::function<void()>& task) {
   try {
-    what();
+    task();
   } catch (const StartError&) {
     start_error_ = std::current_exception();
     loop_.stop();
   }
 }
 
-void Trial::look() {
-  guarded([this] { replace_ended(); });
-  ledger_.judge(loop_.now());
-  later(kLook, [this] { look(); });
+void Trial::poll() {
+  run_guarded([this] { restart_exited(); });
+  checker_.check(loop_.now());
+  run_after(kPollInterval, [this] { poll(); });
 }
 
-// Processes that have ended are started again at once.
-void Trial::replace_ended() {
+// Restarts at once the processes that have exited.
+void Trial::restart_exited() {
   for (std::size_t i = 0; i < edges_.size(); ++i) {
     Edge& edge = edges_[i];
-    const auto status = edge.process->ended();
+    const auto status = edge.process->poll_exit();
     if (!status) continue;
-    note(edge.name + " ended");
-    if (!edge.ending && !edge.callers->ready()) {
-      throw StartError(edge.name + " ended before it was ready: " + edge.process->last_words());
+    log_step(edge.name + " ended");
+    if (!edge.terminating && !edge.callers->ready()) {
+      throw StartError(edge.name + " ended before it was ready: " + edge.process->last_log_line());
     }
-    if (!edge.ending)
-      report_.violations.push_back({Rule::kLost, loop_.now() - begun_, 0, edge.name + " crashed"});
+    if (!edge.terminating)
+      report_.violations.push_back({Rule::kLost, loop_.now() - started_at_, 0, edge.name + " crashed"});
     if (edge.planned) edge.callers->edge_stopped(true);
     start_edge(i);
   }
 }
 
-// ---- Troubles ----
+// ---- Faults ----
 
-void Trial::trouble() {
-  if (loop_.now() - begun_ > options_.seconds) return;
+void Trial::inject_fault() {
+  if (loop_.now() - started_at_ > options_.duration_s) return;
   std::vector<std::function<void()>> kinds;
-  if (options_.troubles.shutdowns) kinds.push_back([this] { shut_down(pick(edges_.size())); });
-  if (options_.troubles.kills && pick(3) == 0) kinds.push_back([this] { kill_edge(pick(edges_.size())); });
-  if (options_.troubles.reloads) {
-    kinds.push_back([this] { reload(pick(edges_.size()), 1 + static_cast<int>(pick(3))); });
+  if (options_.faults.shutdowns) kinds.push_back([this] { shut_down_edge(pick(edges_.size())); });
+  if (options_.faults.kills && pick(3) == 0) kinds.push_back([this] { kill_edge(pick(edges_.size())); });
+  if (options_.faults.reloads) {
+    kinds.push_back([this] { reload_edge(pick(edges_.size()), 1 + static_cast<int>(pick(3))); });
   }
-  if (options_.troubles.core_servers) kinds.push_back([this] { trouble_core_server(); });
-  if (options_.troubles.network) kinds.push_back([this] { trouble_network(); });
-  if (options_.troubles.discovery) kinds.push_back([this] { trouble_discovery(); });
+  if (options_.faults.core_servers) kinds.push_back([this] { inject_core_server_fault(); });
+  if (options_.faults.network) kinds.push_back([this] { inject_network_fault(); });
+  if (options_.faults.discovery) kinds.push_back([this] { inject_discovery_fault(); });
   if (kinds.empty()) return;
   kinds[pick(kinds.size())]();
-  later(std::exponential_distribution<>(1 / options_.trouble_every)(random_), [this] { trouble(); });
+  run_after(std::exponential_distribution<>(1 / options_.mean_fault_interval_s)(random_),
+            [this] { inject_fault(); });
 }
 
-void Trial::trouble_core_server() {
-  const auto running = serving();
-  if (running.size() < 2) return;
-  Server& server = *running[pick(running.size())];
+void Trial::inject_core_server_fault() {
+  const auto candidates = serving_servers();
+  if (candidates.size() < 2) return;
+  Server& server = *candidates[pick(candidates.size())];
   const std::string name = server.process->name();
   switch (pick(4)) {
     case 0: {
-      const double seconds = draw(0.3, 4.0);
-      note(name + " hangs for " + std::to_string(seconds));
-      return server.process->hang(seconds);
+      const double duration_s = draw(0.3, 4.0);
+      log_step(name + " hangs for " + std::to_string(duration_s));
+      return server.process->hang(duration_s);
     }
     case 1:
-      note(name + " dies");
-      server.process->die();
-      return replace(server);
+      log_step(name + " crashes");
+      server.process->crash();
+      return replace_server(server);
     case 2:
-      note(name + " vanishes");
+      log_step(name + " vanishes");
       server.process->vanish();
-      return replace(server);
+      return replace_server(server);
     default:
       server.health = "DRAINING";
-      tell(server);
-      later(draw(0.5, 4.0), [this, &server] {
-        note(server.process->name() + " stops after its drain");
-        server.process->die();
-        replace(server);
+      publish(server);
+      run_after(draw(0.5, 4.0), [this, &server] {
+        log_step(server.process->name() + " stops after its drain");
+        server.process->crash();
+        replace_server(server);
       });
   }
 }
 
-void Trial::draw_dense_troubles() {
-  constexpr double kSeriesEvery = 7.0;  // s
-  constexpr double kTrialsWithACrowd = 0.3;
-  if (options_.troubles.signal_series) {
-    for (double at = draw_dense(kBegins, kSeriesEvery); at < options_.seconds; at += kSeriesEvery) {
-      later(at, [this] { signal_series(); });
+void Trial::schedule_dense_faults() {
+  constexpr double kSeriesInterval = 7.0;  // s
+  constexpr double kFloodShare = 0.3;
+  if (options_.faults.signal_series) {
+    for (double start = draw_dense(kFirstFaultDelay, kSeriesInterval); start < options_.duration_s;
+         start += kSeriesInterval) {
+      run_after(start, [this] { run_signal_series(); });
     }
   }
-  if (options_.troubles.crowds && draw_dense(0, 1) < kTrialsWithACrowd) {
-    later(draw_dense(kBegins, options_.seconds / 2), [this] { crowd(); });
+  if (options_.faults.connection_floods && draw_dense(0, 1) < kFloodShare) {
+    run_after(draw_dense(kFirstFaultDelay, options_.duration_s / 2), [this] { flood_connections(); });
   }
 }
 
-void Trial::signal_series() {
-  double at = 0;
+void Trial::run_signal_series() {
+  double start = 0;
   for (std::size_t i = 0; i < edges_.size(); ++i) {
-    later(at, [this, i] {
-      shut_down(i);
-      signal_again(i, static_cast<int>(dense_random_() % 4));
+    run_after(start, [this, i] {
+      shut_down_edge(i);
+      send_more_signals(i, static_cast<int>(dense_random_() % 4));
     });
-    at += draw_dense(0.0, 1.5);
+    start += draw_dense(0.0, 1.5);
   }
 }
 
-// What a proxy that is ending is told besides: to end, and to read its configuration.
-void Trial::signal_again(std::size_t i, int times) {
+// Sends more signals to an edge proxy that is shutting down: to shut down, and to read its configuration.
+void Trial::send_more_signals(std::size_t i, int times) {
   if (times == 0) return;
-  later(draw_dense(0.01, 1.0), [this, i, times, life = edges_[i].life] {
+  run_after(draw_dense(0.01, 1.0), [this, i, times, generation = edges_[i].generation] {
     Edge& edge = edges_[i];
-    if (edge.life != life || !edge.planned || !edge.process->running()) return;
+    if (edge.generation != generation || !edge.planned || !edge.process->running()) return;
     constexpr int kSignals[] = {SIGTERM, SIGINT, SIGHUP};
-    const int which = kSignals[dense_random_() % std::size(kSignals)];
-    note(edge.name + " signal " + std::to_string(which) + " while it ends");
-    edge.process->signal(which);
-    signal_again(i, times - 1);
+    const int number = kSignals[dense_random_() % std::size(kSignals)];
+    log_step(edge.name + " signal " + std::to_string(number) + " while it ends");
+    edge.process->signal(number);
+    send_more_signals(i, times - 1);
   });
 }
 
-void Trial::crowd() {
+void Trial::flood_connections() {
   const std::size_t i = dense_random_() % edges_.size();
-  const double times = draw_dense(5, 15);
-  const double seconds = draw_dense(1, 4);
-  note(edges_[i].name + " has a crowd, " + std::to_string(times) + " times the calls, for " +
-       std::to_string(seconds));
-  edges_[i].callers->crowd(times, kCrowdConnections, seconds);
+  const double factor = draw_dense(5, 15);
+  const double duration_s = draw_dense(1, 4);
+  log_step(edges_[i].name + " gets a connection flood, " + std::to_string(factor) + " times the calls, for " +
+           std::to_string(duration_s));
+  edges_[i].callers->flood(factor, kFloodConnections, duration_s);
 }
 
-void Trial::replace(Server& server) {
-  later(kReplacedAfter, [this, &server] {
+void Trial::replace_server(Server& server) {
+  run_after(kReplacementDelay, [this, &server] {
     server.health = "DELETED";
-    tell(server);
+    publish(server);
     add_server(true);
-    tell(*servers_.back());
+    publish(*servers_.back());
   });
 }
 
-void Trial::trouble_network() {
-  const auto running = serving();
-  if (running.empty()) return;
-  CoreServer& server = *running[pick(running.size())]->process;
+void Trial::inject_network_fault() {
+  const auto candidates = serving_servers();
+  if (candidates.empty()) return;
+  CoreServer& server = *candidates[pick(candidates.size())]->process;
   const std::size_t edge = pick(edges_.size());
-  FaultLine& line = server.line(edge);
+  FaultyLink& link = server.link(edge);
   const std::string where = edges_[edge].name + " to " + server.name();
   switch (pick(4)) {
     case 0:
-      note(where + " cut");
-      return line.cut();
+      log_step(where + " cut");
+      return link.cut();
     case 1: {
-      const double seconds = draw(0.3, 4.0);
-      note(where + " silent for " + std::to_string(seconds));
-      line.set_silent(true);
-      return later(seconds, [&line, &server] {
-        if (server.running()) line.set_silent(false);
+      const double duration_s = draw(0.3, 4.0);
+      log_step(where + " silent for " + std::to_string(duration_s));
+      link.set_silent(true);
+      return run_after(duration_s, [&link, &server] {
+        if (server.running()) link.set_silent(false);
       });
     }
     case 2:
-      note(where + " opens late, and is cut");
-      line.open_late(draw(0.05, 1.0));
-      line.cut();
-      return later(2.0, [&line] { line.open_late(0); });
+      log_step(where + " opens late and is cut");
+      link.set_connect_delay(draw(0.05, 1.0));
+      link.cut();
+      return run_after(2.0, [&link] { link.set_connect_delay(0); });
     default:
-      note(where + " closes early");
-      return line.close_early(1 + pick(3));
+      log_step(where + " closes early");
+      return link.close_next(1 + pick(3));
   }
 }
 
-void Trial::trouble_discovery() {
+void Trial::inject_discovery_fault() {
   Edge& edge = edges_[pick(edges_.size())];
   Discovery& discovery = *edge.discovery;
-  discovery_well_from_ = std::max(discovery_well_from_, loop_.now() + kToldLate);
+  discovery_reliable_from_ = std::max(discovery_reliable_from_, loop_.now() + kMaxDiscoveryDelay);
   switch (pick(3)) {
     case 0:
-      note(edge.name + "'s discovery falls silent");
-      return discovery.fall_silent();
+      log_step(edge.name + "'s discovery falls silent");
+      return discovery.go_silent();
     case 1:
-      note(edge.name + "'s discovery breaks off");
-      return discovery.break_off();
+      log_step(edge.name + "'s discovery breaks off");
+      return discovery.break_connections();
     default: {
-      const double seconds = draw(0.5, 3.0);
-      note(edge.name + "'s discovery is down for " + std::to_string(seconds));
+      const double duration_s = draw(0.5, 3.0);
+      log_step(edge.name + "'s discovery is down for " + std::to_string(duration_s));
       discovery.set_down(true);
-      discovery_well_from_ = std::max(discovery_well_from_, loop_.now() + seconds + kToldLate);
-      later(seconds, [&discovery] { discovery.set_down(false); });
+      discovery_reliable_from_ =
+          std::max(discovery_reliable_from_, loop_.now() + duration_s + kMaxDiscoveryDelay);
+      run_after(duration_s, [&discovery] { discovery.set_down(false); });
     }
   }
 }
 
 Report Trial::run() {
-  begun_ = loop_.now();
+  started_at_ = loop_.now();
   for (std::size_t i = 0; i < edges_.size(); ++i) start_edge(i);
-  look();
-  later(kBegins, [this] { trouble(); });
-  draw_dense_troubles();
-  later(options_.seconds, [this] {
-    for (Edge& edge : edges_) edge.callers->finish();
+  poll();
+  run_after(kFirstFaultDelay, [this] { inject_fault(); });
+  schedule_dense_faults();
+  run_after(options_.duration_s, [this] {
+    for (Edge& edge : edges_) edge.callers->stop_calling();
   });
   std::function<void()> wait = [&] {
-    const double over = loop_.now() - begun_ - options_.seconds;
-    report_.settled = ledger_.settled();
-    if (over > kLongestWait || (over > 1 && report_.settled)) return loop_.stop();
-    later(kLook, wait);
+    const double overtime = loop_.now() - started_at_ - options_.duration_s;
+    report_.settled = checker_.settled();
+    if (overtime > kMaxFinalWait || (overtime > 1 && report_.settled)) return loop_.stop();
+    run_after(kPollInterval, wait);
   };
-  later(options_.seconds, wait);
+  run_after(options_.duration_s, wait);
   loop_.run();
   if (start_error_) std::rethrow_exception(start_error_);
-  ledger_.judge(loop_.now());
-  for (Violation each : ledger_.violations()) {
-    each.at -= begun_;
+  checker_.check(loop_.now());
+  for (Violation each : checker_.violations()) {
+    each.time -= started_at_;
     report_.violations.push_back(each);
   }
-  for (const Edge& edge : edges_) report_.taken += edge.callers->taken();
-  report_.served = ledger_.served();
-  report_.ended = ledger_.ended();
+  for (const Edge& edge : edges_) report_.setups_sent += edge.callers->setups_sent();
+  report_.calls_served = checker_.calls_served();
+  report_.ends_notified = checker_.ends_notified();
   return std::move(report_);
 }
 
--- a/src/lab/soak/soak.hpp
+++ b/src/lab/soak/soak.hpp
@@ -1,5 +1,5 @@
-// A soak: one short, dense, seeded trial of a few real edge proxies on the platform route, with faults that
-// overlap, and the verdict of the ledger over what passed on the sockets.
+// A soak: one short, dense, seeded trial of a few real edge proxies (mintrock-edge --platform) with
+// overlapping faults. The rule checker checks what passes on the sockets.
 #ifndef MINTROCK_SRC_LAB_SOAK_SOAK_HPP_
 #define MINTROCK_SRC_LAB_SOAK_SOAK_HPP_
 
@@ -10,48 +10,49 @@
 
 #include "lab/soak/callers.hpp"
 #include "lab/soak/core_server.hpp"
-#include "lab/soak/ledger.hpp"
+#include "lab/soak/rule_checker.hpp"
 
 namespace mintrock::lab::soak {
 
-// Which kinds of trouble a trial's script may draw from.
-struct Troubles {
-  bool shutdowns = true;     // SIGTERM in series, SIGKILL at the earliest time, and starts again
-  bool kills = true;         // SIGKILL without notice
-  bool reloads = true;       // new configurations that move discovery, in quick succession
-  bool core_servers = true;  // hang, die, vanish, are replaced and drained
-  bool network = true;       // cuts, silence, connections that come up late or are closed early
-  bool discovery = true;     // silent, down, broken off
-  // Drawn apart from the others, whose script they leave as it is.
-  bool signal_series = false;  // every edge proxy is ended, one after another, with more signals on the way
-  bool crowds = false;         // for a while, many times the calls and connections; in some trials
+// The kinds of faults that a trial's script may draw from.
+struct Faults {
+  bool shutdowns = true;  // SIGTERM, SIGKILL at the earliest time that the platform allows, restart
+  bool kills = true;      // SIGKILL without notice
+  bool reloads =
+      true;  // SIGHUP in quick succession, with configurations that change the address of discovery
+  bool core_servers = true;  // they hang, crash, vanish, drain and are replaced
+  bool network = true;       // resets, silence, connections that open late or are closed at once
+  bool discovery = true;     // silent, down, or closed in the middle of an event
+  // Drawn from a generator of their own, so that the script of the other faults stays the same for a seed.
+  bool signal_series = false;      // SIGTERM to all edge proxies in turn, more signals while they shut down
+  bool connection_floods = false;  // in some trials: for a while, many times the calls and connections
 };
 
 struct Options {
   std::uint64_t seed = 1;
   std::size_t edges = 3;
   std::size_t core_servers = 4;
-  double seconds = 12;         // with calls and trouble; then what is open is waited for
-  double trouble_every = 0.5;  // s between two draws of the script, in the mean
+  double duration_s = 12;              // of calls and faults; then the trial waits for what is pending
+  double mean_fault_interval_s = 0.5;  // between two faults drawn by the script
   std::string edge_program;
-  std::string dir;  // logs and configurations
-  Troubles troubles;
-  CoreBehaviour behaviour;
-  CallerHabits habits;
+  std::string dir;  // for logs and configurations
+  Faults faults;
+  CoreBehaviour core_behaviour;
+  CallerBehaviour caller_behaviour;
   Limits limits;
 };
 
 struct Report {
   std::vector<Violation> violations;
-  std::vector<std::string> timeline;  // the script's steps, with their times
-  std::size_t taken = 0;
-  std::size_t served = 0;
-  std::size_t ended = 0;
+  std::vector<std::string> timeline;  // the steps of the script, with their times
+  std::size_t setups_sent = 0;
+  std::size_t calls_served = 0;
+  std::size_t ends_notified = 0;
   bool settled = false;
-  bool good() const { return violations.empty() && settled; }
+  bool passed() const { return violations.empty() && settled; }
 };
 
-// Throws StartError where a proxy or the trial's files can't be started or written.
+// Throws StartError if an edge proxy can't be started or the trial's files can't be written.
 Report run(const Options& options);
 
 }  // namespace mintrock::lab::soak
--- a/tests/lab/soak/core_server_test.cpp
+++ b/tests/lab/soak/core_server_test.cpp
@@ -1,4 +1,4 @@
-// What a core server of a soak has told, and what only left its hands.
+// When a release that a simulated core server of a soak has written counts as delivered.
 #include "lab/soak/core_server.hpp"
 
 #include <gtest/gtest.h>
@@ -13,7 +13,7 @@
 #include <vector>
 
 #include "lab/process.hpp"
-#include "lab/soak/ledger.hpp"
+#include "lab/soak/rule_checker.hpp"
 #include "net/loop.hpp"
 #include "platform/core_codec.hpp"
 
@@ -22,95 +22,96 @@
 
 constexpr std::uint64_t kCall = 7;
 constexpr const char* kServer = "s-1";
-constexpr const char* kNotTold = "over at s-1, and its caller was not told in time";
-constexpr std::size_t kMostUnsent = 1 << 16;  // bytes
-constexpr double kPlayed = 1.0;               // s, five times as long as the call holds
+constexpr const char* kNotNotified = "ended at s-1, but its caller was not notified in time";
+constexpr std::size_t kMaxUnsent = 1 << 16;  // bytes
+constexpr double kRunTime = 1.0;             // s, five times the duration of the call
 
-// Calls back, once, when this text has been written.
-class TextWatcher : public std::streambuf {
+// Calls back once, when this text has been written to the stream.
+class TextTrigger : public std::streambuf {
  public:
-  TextWatcher(std::string text, std::function<void()> found)
-      : text_(std::move(text)), found_(std::move(found)) {}
+  TextTrigger(std::string text, std::function<void()> callback)
+      : text_(std::move(text)), callback_(std::move(callback)) {}
 
  protected:
   int overflow(int character) override {
     written_.push_back(static_cast<char>(character));
-    if (!told_ && written_.find(text_) != std::string::npos) {
-      told_ = true;
-      found_();
+    if (!triggered_ && written_.find(text_) != std::string::npos) {
+      triggered_ = true;
+      callback_();
     }
     return character;
   }
 
  private:
   std::string text_;
-  std::function<void()> found_;
+  std::function<void()> callback_;
   std::string written_;
-  bool told_ = false;
+  bool triggered_ = false;
 };
 
-// One call, which stands at the server and ends; `at_its_end` is done in the turn of that, before anything is
-// written to the network.
+// One call, which is established at the server and ends. `at_end` is called in the event loop turn in
+// which the call ends, before anything is written to the network.
 struct EndedCall {
-  explicit EndedCall(const std::function<void(CoreServer&)>& at_its_end)
-      : watcher("7 over s-1\n", [&, at_its_end] { loop.defer([&, at_its_end] { at_its_end(server); }); }) {
-    ledger.taken(kCall, 0, 1.0, loop.now());
-    const auto edge = net::Stream::connect(loop, server.address(0), kMostUnsent);
-    edge->set({{}, [this](std::string_view bytes) { heard(bytes); }, {}});
+  explicit EndedCall(const std::function<void(CoreServer&)>& at_end)
+      : trigger("7 over s-1\n", [&, at_end] { loop.defer([&, at_end] { at_end(server); }); }) {
+    checker.setup_sent(kCall, 0, 1.0, loop.now());
+    const auto edge = net::Stream::connect(loop, server.address(0), kMaxUnsent);
+    edge->set({{}, [this](std::string_view bytes) { on_bytes(bytes); }, {}});
     edge->write(platform::write_core_setup(kCall, "voice", "7", 1000, "offer"));
-    loop.after(kPlayed, [this] { loop.stop(); });
+    loop.after(kRunTime, [this] { loop.stop(); });
     loop.run();
     edge->close();
   }
 
-  void heard(std::string_view bytes) {
-    cutter.feed(bytes);
-    while (const auto line = cutter.next()) {
-      const char* fault = nullptr;
-      const auto message = platform::read_core_message(*line, fault);
+  void on_bytes(std::string_view bytes) {
+    line_reader.feed(bytes);
+    while (const auto line = line_reader.next()) {
+      const char* reason = nullptr;
+      const auto message = platform::read_core_message(*line, reason);
       if (!message) continue;
       if (message->type == platform::CoreMessage::Type::kAnswer) {
-        ledger.answered(kCall, FinalAnswer::kServed, message->description, loop.now());
+        checker.final_answer_received(kCall, FinalAnswer::kServed, message->description, loop.now());
       }
-      released = released || message->type == platform::CoreMessage::Type::kRelease;
+      release_received = release_received || message->type == platform::CoreMessage::Type::kRelease;
     }
   }
 
-  // The rules that will be broken by then if nothing more is told.
-  std::vector<std::string> broken_within(double seconds) {
-    ledger.judge(loop.now() + seconds);
-    std::vector<std::string> out;
-    for (const Violation& each : ledger.violations()) out.push_back(each.what);
-    return out;
+  // The violations that are recorded by then if nothing more happens.
+  std::vector<std::string> violations_within(double seconds) {
+    checker.check(loop.now() + seconds);
+    std::vector<std::string> result;
+    for (const Violation& each : checker.violations()) result.push_back(each.description);
+    return result;
   }
 
-  static CoreBehaviour always_well() {
+  static CoreBehaviour normal_answers() {
     CoreBehaviour behaviour{0, 0, 0, 0, 0, 0, 0, 0};
-    behaviour.longest_hold_s = 0.2;
+    behaviour.max_hold_s = 0.2;
     return behaviour;
   }
 
   net::Loop loop;
-  TextWatcher watcher;
-  std::ostream trace{&watcher};
-  Ledger ledger{Limits{}, &trace};
-  CoreServer server{loop, loopback_of_process(getpid()), ledger, kServer, 1, always_well(), 1};
-  platform::LineCutter cutter;
-  bool released = false;
+  TextTrigger trigger;
+  std::ostream trace{&trigger};
+  RuleChecker checker{Limits{}, &trace};
+  CoreServer server{loop, loopback_of_process(getpid()), checker, kServer, 1, normal_answers(), 1};
+  platform::LineCutter line_reader;
+  bool release_received = false;
 };
 
-TEST(CoreServer, AnEndThatPassedIsDueSoon) {
+TEST(CoreServer, ADeliveredReleaseStartsTheShortLimit) {
   EndedCall call([](CoreServer&) {});
-  EXPECT_TRUE(call.released);
-  EXPECT_EQ(call.broken_within(2.0), std::vector<std::string>{kNotTold});
+  EXPECT_TRUE(call.release_received);
+  EXPECT_EQ(call.violations_within(2.0), std::vector<std::string>{kNotNotified});
 }
 
-// Soak seeds 116, 172 and 527: the end was written, and its machine vanished before the bytes had left it.
-TEST(CoreServer, AnEndThatIsWrittenAsItsMachineVanishesHasNotPassed) {
+// Soak seeds 116, 172 and 527: the release was written, and the machine vanished before the bytes had left
+// it.
+TEST(CoreServer, AReleaseThatIsWrittenAsTheMachineVanishesIsNotDelivered) {
   EndedCall call([](CoreServer& server) { server.vanish(); });
-  EXPECT_FALSE(call.released);
-  EXPECT_EQ(call.broken_within(2.0), std::vector<std::string>{});
-  EXPECT_EQ(call.broken_within(9.0), std::vector<std::string>{kNotTold});
+  EXPECT_FALSE(call.release_received);
+  EXPECT_EQ(call.violations_within(2.0), std::vector<std::string>{});
+  EXPECT_EQ(call.violations_within(9.0), std::vector<std::string>{kNotNotified});
 }
 
 }  // namespace
--- a/tests/lab/soak/soak_test.cpp
+++ b/tests/lab/soak/soak_test.cpp
@@ -1,4 +1,4 @@
-// Real mintrock-edge processes under dense, seeded trouble on loopback.
+// Real mintrock-edge processes on loopback, under dense, seeded faults.
 #include "lab/soak/soak.hpp"
 
 #include <gtest/gtest.h>
@@ -25,16 +25,17 @@
   void expect_rules_kept() {
     const Report report = run(options_);
     EXPECT_TRUE(report.settled);
-    EXPECT_GT(report.taken, 30u);
-    EXPECT_GT(report.served, report.taken / 4);
+    EXPECT_GT(report.setups_sent, 30u);
+    EXPECT_GT(report.calls_served, report.setups_sent / 4);
     for (const Violation& each : report.violations) {
-      ADD_FAILURE() << each.at << " " << name(each.rule) << ": call " << std::hex << each.call << " "
-                    << each.what << "; seed " << std::dec << options_.seed << ", logs in " << options_.dir;
+      ADD_FAILURE() << each.time << " " << name(each.rule) << ": call " << std::hex << each.call << " "
+                    << each.description << "; seed " << std::dec << options_.seed << ", logs in "
+                    << options_.dir;
     }
     if (!HasFailure()) return;
     for (const std::string& each : report.timeline) std::printf("%s\n", each.c_str());
   }
-  // The error that ends the trial; empty if it was played.
+  // The StartError that ends the trial; empty if the trial was run.
   std::string start_error() {
     try {
       run(options_);
@@ -46,8 +47,8 @@
   Options options_;
 };
 
-// A trial that can't be begun was reported as hundreds of crashes.
-TEST_F(Soak, AStartThatFailsIsOneErrorAndBreaksNoRule) {
+// A trial that could not be started was reported as hundreds of crashes.
+TEST_F(Soak, AFailedStartIsOneErrorAndNoViolation) {
   const std::string folder = options_.dir;
   const std::string program = options_.edge_program;
   options_.dir = folder + "/missing";
@@ -60,18 +61,18 @@
   options_.edge_program = program;
 }
 
-// Incident e99bd3: a core server's release, "the call has come to its end", overtakes the call's answer, or
-// the answer never comes.
-TEST_F(Soak, ACallThatEndsBeforeItsAnswerComesIsToldToItsCaller) {
+// Incident e99bd3: a core server's release for the end of a call overtakes the call's answer, or the answer
+// never arrives.
+TEST_F(Soak, TheEndOfACallBeforeItsAnswerIsReportedToTheCaller) {
   options_.edges = 2;
   options_.core_servers = 2;
-  options_.seconds = 4;
-  options_.troubles = {false, false, false, false, false, false};
-  options_.behaviour.late_answer = 0.4;
+  options_.duration_s = 4;
+  options_.faults = {false, false, false, false, false, false};
+  options_.core_behaviour.late_answer = 0.4;
   expect_rules_kept();
 }
 
-// All kinds of trouble, overlapping; a few seeds. Many are played by hand: mintrock-lab soak --runs N.
+// All kinds of faults, overlapping, for a few seeds. More seeds are run by hand: mintrock-lab soak --runs N.
 class SoakSeed : public Soak, public testing::WithParamInterface<std::uint64_t> {};
 
 TEST_P(SoakSeed, ADenseTrialKeepsTheRules) {
@@ -81,19 +82,20 @@
 
 INSTANTIATE_TEST_SUITE_P(Seeds, SoakSeed, testing::Range<std::uint64_t>(1, 7));
 
-// The same, with signals in series to proxies that are ending, and crowds.
+// The same, with signals in series to edge proxies that are shutting down, and connection floods.
 class DenseSoakSeed : public SoakSeed {};
 
-TEST_P(DenseSoakSeed, SignalSeriesAndCrowdsKeepTheRules) {
+TEST_P(DenseSoakSeed, SignalSeriesAndConnectionFloodsKeepTheRules) {
   options_.seed = GetParam();
-  options_.troubles.signal_series = true;
-  options_.troubles.crowds = true;
+  options_.faults.signal_series = true;
+  options_.faults.connection_floods = true;
   expect_rules_kept();
 }
 
 INSTANTIATE_TEST_SUITE_P(Seeds, DenseSoakSeed, testing::Range<std::uint64_t>(601, 605));
 
-// An edge proxy is restarted at the very end of a silence (KNOWN-RED.txt).
+// Seed 164 restarts an edge proxy at the very end of a silence: the restarted proxy must not take a new
+// connection as proof that lost ends were delivered.
 INSTANTIATE_TEST_SUITE_P(RestartInASilence, SoakSeed, testing::Values<std::uint64_t>(164));
 
 }  // namespace
