--- a/src/lab/soak/callers.hpp
+++ b/src/lab/soak/callers.hpp
@@ -46,7 +46,7 @@
   // The edge proxy is shutting down: no new connections from now on; the open ones stay in use.
   void edge_terminating() { may_connect_ = false; }
   void edge_stopped(bool planned);
-  void stop_calling() { calling_ = false; }  // places no new calls
+  void stop_calling() { calling_ = false; }
   // Multiplies the call rate by `factor`, on up to `connections` connections, for a while.
   void flood(double factor, std::size_t connections, double seconds);
   bool ready() const { return ready_; }
@@ -55,14 +55,14 @@
  private:
   struct OpenSetup {
     std::size_t connection = 0;
-    double written_at = 0;  // when its last byte was written
+    double written_at = 0;  // time of its last byte
   };
   struct Connection {
     std::shared_ptr<net::Stream> stream;
     platform::MessageCutter message_reader;
     bool up = false;
-    double last_active = 0;  // time
-    std::string unsent;      // of a message that is sent in pieces
+    double last_active = 0;
+    std::string unsent;  // of a message that is sent in pieces
   };
 
   void tick();
--- a/src/lab/soak/core_server.cpp
+++ b/src/lab/soak/core_server.cpp
@@ -12,16 +12,16 @@
 using platform::hex_id;
 
 constexpr std::size_t kMaxUnsentBytes = 1 << 20;
-constexpr std::size_t kMaxStateConnections =
-    4;                                   // per edge proxy: connections that get unsolicited load states
+// The number of connections of one edge proxy that get unsolicited load states.
+constexpr std::size_t kMaxStateConnections = 4;
 constexpr double kStateInterval = 0.5;   // s
 constexpr double kMinSetupTime = 0.01;   // s
 constexpr double kMaxSetupTime = 0.25;   // s
 constexpr double kMinHold = 0.2;         // s
 constexpr double kMaxAnswerDelay = 3.0;  // s from the end of the call until its late answer is sent
-constexpr double kUnconfirmedFor =
-    1.0;                             // s in which a lost connection is taken to lose a retransmitted release
-constexpr double kMaxSilence = 5.0;  // s that a faulty link stays silent
+// s after a retransmission in which the loss of the connection may have lost the release again.
+constexpr double kUnconfirmedFor = 1.0;
+constexpr double kMaxSilence = 5.0;       // s, of a faulty link
 constexpr double kAnswerLostShare = 0.3;  // share of late answers that are never sent
 
 std::string release_line(std::uint64_t id, int cause, const std::string& note = "") {
--- a/src/lab/soak/core_server.hpp
+++ b/src/lab/soak/core_server.hpp
@@ -21,7 +21,8 @@
 
 namespace mintrock::lab::soak {
 
-// The shares of set-ups that get each kind of answer; the others are answered normally.
+// The shares of set-ups that get each kind of answer, and the duration of calls. The other set-ups are
+// answered normally.
 struct CoreBehaviour {
   double no_circuit = 0.05;   // refused: no circuit available
   double error = 0.03;        // refused: unavailable
@@ -30,7 +31,7 @@
   double malformed_answer = 0.02;  // a malformed line instead of an answer
   double duplicate_answer = 0.03;  // the answer is sent twice
   double cut = 0.03;               // the call is cut instead of ending normally
-  double max_hold_s = 4;           // not a share: of the calls answered normally
+  double max_hold_s = 4;           // upper bound of the duration of calls that are answered normally
 };
 
 class CoreServer {
@@ -101,8 +102,8 @@
   std::vector<std::unique_ptr<FaultyLink>> links_;
   std::map<std::size_t, Connection> connections_;
   std::map<CallKey, Call> calls_;
-  std::map<std::size_t, std::vector<std::string>>
-      pending_ends_;  // release lines to retransmit on the next connection of an edge proxy
+  // For each edge proxy, the release lines to retransmit on its next connection.
+  std::map<std::size_t, std::vector<std::string>> pending_ends_;
   std::vector<std::function<void()>> queued_;  // tasks that wait while the process hangs
   std::size_t last_connection_id_ = 0;
   std::uint64_t last_serial_ = 0;
--- a/src/lab/soak/discovery.cpp
+++ b/src/lab/soak/discovery.cpp
@@ -22,7 +22,7 @@
                             {"block", 0},
                             {"health", each.health},
                             {"share", 1},
-                            {"born_ms", each.born_ms}});
+                            {"born_ms", each.start_time_ms}});
   }
   return {{"offset", offset}, {"topology", {{"seq", offset}, {"whole", full_list}, {"hosts", host_entries}}}};
 }
--- a/src/lab/soak/discovery.hpp
+++ b/src/lab/soak/discovery.hpp
@@ -17,8 +17,8 @@
 struct Host {
   std::string name;
   net::Address address;
-  std::string health;        // SERVING, DRAINING or DELETED
-  std::int64_t born_ms = 0;  // start time in ms since the Unix epoch; 0: there from the beginning
+  std::string health;              // SERVING, DRAINING or DELETED
+  std::int64_t start_time_ms = 0;  // start time in ms since the Unix epoch; 0: there from the beginning
 };
 
 class Discovery {
--- a/src/lab/soak/soak.cpp
+++ b/src/lab/soak/soak.cpp
@@ -26,15 +26,14 @@
 using nlohmann::json;
 
 constexpr double kPollInterval = 0.05;  // s between checks of the processes and the rules
-constexpr double kMaxFinalWait =
-    11;  // s for pending answers and notifications at the end: the limit of 8 s and slack
-constexpr double kMaxShutdownWait = 3;        // s after SIGTERM: at most so much for the longest deadline
-constexpr double kKillDelay = 0.7;            // s more until SIGKILL
+constexpr double kMaxFinalWait = 11;    // s for what is pending at the end: the limit of 8 s and slack
+constexpr double kMaxShutdownWait = 3;  // s: upper bound of the wait for the longest deadline after SIGTERM
+constexpr double kKillDelay = 0.7;      // s from the end of that wait to SIGKILL
 constexpr double kConnectAfterSigterm = 0.3;  // s after SIGTERM in which callers still open connections
 constexpr double kMaxDiscoveryDelay = 6.0;  // s until a change counts as reported while discovery has faults
 constexpr double kFirstFaultDelay = 0.8;    // s until the first fault
 constexpr std::size_t kSocketLimit = 512;   // file descriptors of an edge proxy
-constexpr std::size_t kFloodConnections = kSocketLimit / 3;  // maximum that its callers hold
+constexpr std::size_t kFloodConnections = kSocketLimit / 3;  // maximum held by its callers
 constexpr double kReplacementDelay = 0.8;  // s until the server list reports a stopped server as gone
 
 class Trial {
@@ -56,7 +55,7 @@
   struct Server {
     std::unique_ptr<CoreServer> process;
     std::string health = "SERVING";
-    std::int64_t born_ms = 0;
+    std::int64_t start_time_ms = 0;
   };
 
   double draw(double min, double max) { return std::uniform_real_distribution<>(min, max)(random_); }
@@ -169,7 +168,7 @@
 }
 
 Host Trial::host(const Server& server, std::size_t edge) const {
-  return {server.process->name(), server.process->address(edge), server.health, server.born_ms};
+  return {server.process->name(), server.process->address(edge), server.health, server.start_time_ms};
 }
 
 std::vector<Host> Trial::hosts(const Edge& edge) const {
@@ -187,7 +186,7 @@
   std::snprintf(id, sizeof id, "s-%08x", static_cast<unsigned>(random_()));
   server->process = std::make_unique<CoreServer>(loop_, ip_, checker_, id, options_.edges,
                                                  options_.core_behaviour, random_());
-  if (joins_late) server->born_ms = static_cast<std::int64_t>(net::wall_now() * 1000);
+  if (joins_late) server->start_time_ms = static_cast<std::int64_t>(net::wall_now() * 1000);
   servers_.push_back(std::move(server));
 }
 
--- a/src/lab/soak/soak.hpp
+++ b/src/lab/soak/soak.hpp
@@ -16,10 +16,9 @@
 
 // The kinds of faults that a trial's script may draw from.
 struct Faults {
-  bool shutdowns = true;  // SIGTERM, SIGKILL at the earliest time that the platform allows, restart
-  bool kills = true;      // SIGKILL without notice
-  bool reloads =
-      true;  // SIGHUP in quick succession, with configurations that change the address of discovery
+  bool shutdowns = true;     // SIGTERM, SIGKILL at the earliest time that the platform allows, restart
+  bool kills = true;         // SIGKILL without notice
+  bool reloads = true;       // SIGHUP in quick succession, with configurations that move discovery elsewhere
   bool core_servers = true;  // they hang, crash, vanish, drain and are replaced
   bool network = true;       // resets, silence, connections that open late or are closed at once
   bool discovery = true;     // silent, down, or closed in the middle of an event
