--- a/src/lab/soak/faulty_link.cpp
+++ b/src/lab/soak/faulty_link.cpp
@@ -147,8 +147,8 @@
   if (bind(listener, reinterpret_cast<const sockaddr*>(&endpoint), sizeof endpoint) != 0 ||
       ::listen(listener, 0) != 0)
     return;
-  constexpr int kBacklogFill =
-      4;  // more than a backlog of 0 holds; the surplus ones wait, as every later client will
+  // More connections than a backlog of 0 holds: the surplus ones wait, as every later client will.
+  constexpr int kBacklogFill = 4;
   for (int i = 0; i < kBacklogFill; ++i)
     connect(new_socket(), reinterpret_cast<const sockaddr*>(&endpoint), sizeof endpoint);
 }
