--- a/benchmarks/call_path.cpp
+++ b/benchmarks/call_path.cpp
@@ -6,7 +6,7 @@
 
 #include "diameter/codec.hpp"
 #include "diameter/dictionary.hpp"
-#include "diameter/duplicates.hpp"
+#include "diameter/duplicate_cache.hpp"
 #include "edge/call_desk.hpp"
 #include "edge/credit_control.hpp"
 
@@ -42,7 +42,7 @@
   const std::string frame = setup();
   diameter::MessageView view;
   diameter::decode(frame, view);
-  for (auto _ : state) benchmark::DoNotOptimize(diameter::check(view));
+  for (auto _ : state) benchmark::DoNotOptimize(diameter::validate(view));
 }
 BENCHMARK(Check);
 
@@ -58,11 +58,11 @@
 BENCHMARK(ReadAndWriteSetup);
 
 void FullDuplicates(benchmark::State& state) {
-  diameter::Duplicates seen(100000, 30);
+  diameter::DuplicateCache seen(100000, 30);
   std::uint32_t id = 0;
   for (auto _ : state) {
-    benchmark::DoNotOptimize(seen.seen("dock-1.lab.test", ++id, 1));
-    seen.answered("dock-1.lab.test", id, std::string(200, 'x'));
+    benchmark::DoNotOptimize(seen.find_or_insert("dock-1.lab.test", ++id, 1));
+    seen.store_answer("dock-1.lab.test", id, std::string(200, 'x'));
   }
 }
 BENCHMARK(FullDuplicates);
--- a/src/diameter/codec.cpp
+++ b/src/diameter/codec.cpp
@@ -77,8 +77,8 @@
                        std::to_string(left) + " bytes left"};
     }
     if (vendor) avp.vendor = get(bytes, at + 8, 4);
-    avp.whole = bytes.substr(at, length);
-    avp.data = avp.whole.substr(head);
+    avp.encoded = bytes.substr(at, length);
+    avp.data = avp.encoded.substr(head);
     out.push_back(avp);
     at += std::min(padded(length), left);  // the last AVP of a group may come unpadded from some peers
   }
--- a/src/diameter/codec.hpp
+++ b/src/diameter/codec.hpp
@@ -44,8 +44,8 @@
   std::uint32_t code = 0;
   std::uint32_t vendor = 0;
   std::uint8_t flags = 0;
-  std::string_view data;   // without padding
-  std::string_view whole;  // header and data, without padding
+  std::string_view data;     // without padding
+  std::string_view encoded;  // header and data, without padding
 };
 
 // What is wrong with a message, in the terms of RFC 6733 section 7.
@@ -92,7 +92,7 @@
   const Header& header() const { return header_; }
   std::size_t buffered() const { return buffer_.size() - at_; }
   // What was fed and not yet handed out.
-  std::string_view rest() const { return std::string_view(buffer_).substr(at_); }
+  std::string_view unread() const { return std::string_view(buffer_).substr(at_); }
 
  private:
   std::uint32_t max_length_;
--- a/src/diameter/dictionary.cpp
+++ b/src/diameter/dictionary.cpp
@@ -173,7 +173,7 @@
 std::optional<Fault> fault(std::uint32_t code, const AvpView& avp, const std::string& what) {
   const AvpDef* def = find_avp(avp.code, avp.vendor);
   const std::string name = def != nullptr ? def->name : "AVP " + std::to_string(avp.code);
-  return Fault{code, std::string(avp.whole), name + ": " + what};
+  return Fault{code, std::string(avp.encoded), name + ": " + what};
 }
 
 std::optional<Fault> check_value(const AvpDef& def, const AvpView& avp, int depth);
@@ -208,7 +208,7 @@
     case AvpType::kEnumerated: {
       const auto value = as_u32(avp);
       if (!value) return fault(kInvalidAvpLength, avp, "not 4 bytes");
-      if (*value < def.least || *value > def.most) {
+      if (*value < def.min_value || *value > def.max_value) {
         return fault(kInvalidAvpValue, avp, "value " + std::to_string(*value));
       }
       return std::nullopt;
@@ -267,26 +267,26 @@
   static const auto kTables = [] {
     std::array<std::array<const AvpDef*, kTableSize>, 2> tables{};
     for (const AvpDef& def : kAll) {
-      if (def.code < kTableSize && (def.vendor == 0 || def.vendor == kVendorOwn)) {
+      if (def.code < kTableSize && (def.vendor == 0 || def.vendor == kVendorMintrock)) {
         tables[def.vendor == 0 ? 0 : 1][def.code] = &def;
       }
     }
     return tables;
   }();
-  if (vendor == 0 || vendor == kVendorOwn)
+  if (vendor == 0 || vendor == kVendorMintrock)
     return code < kTableSize ? kTables[vendor == 0 ? 0 : 1][code] : nullptr;
   const AvpDef& wait = avp::kMaximumWaitTime;
   return code == wait.code && vendor == wait.vendor ? &wait : nullptr;
 }
 
-bool well_formed(const AvpView& avp) { return !check_avp(avp, 0); }
+bool is_well_formed(const AvpView& avp) { return !check_avp(avp, 0); }
 
-bool known_command(std::uint32_t command) {
+bool is_known_command(std::uint32_t command) {
   const auto& all = grammars();
   return std::any_of(all.begin(), all.end(), [&](const Grammar& g) { return g.command == command; });
 }
 
-std::optional<Fault> check(const MessageView& message) {
+std::optional<Fault> validate(const MessageView& message) {
   const Grammar* grammar = nullptr;
   for (const Grammar& each : grammars()) {
     if (each.command == message.header.command && each.request == message.header.request()) grammar = &each;
--- a/src/diameter/dictionary.hpp
+++ b/src/diameter/dictionary.hpp
@@ -21,12 +21,12 @@
   AvpType type;
   bool mandatory;  // the M bit, as this program sends it
   const char* name;
-  std::uint32_t least = 0;  // of integers: the least and greatest value allowed
-  std::uint32_t most = 0xFFFFFFFFu;
+  std::uint32_t min_value = 0;  // of integers: the least and greatest value allowed
+  std::uint32_t max_value = 0xFFFFFFFFu;
 };
 
 inline constexpr std::uint32_t kVendor3gpp = 10415;
-inline constexpr std::uint32_t kVendorOwn = 32473;
+inline constexpr std::uint32_t kVendorMintrock = 32473;
 
 namespace avp {
 using T = AvpType;
@@ -103,19 +103,20 @@
 // 3GPP TS 29.273 section 9.2.3.5.3: milliseconds that the requester waits for the answer
 inline constexpr AvpDef kMaximumWaitTime{1537, kVendor3gpp, T::kUnsigned32, false, "Maximum-Wait-Time"};
 // Own; docs/diameter.md
-inline constexpr AvpDef kServerLoad{1, kVendorOwn, T::kGrouped, false, "Server-Load"};
-inline constexpr AvpDef kProcessorWait{2, kVendorOwn, T::kUnsigned32, false, "Processor-Wait"};  // ms
-inline constexpr AvpDef kQueueLength{3, kVendorOwn, T::kUnsigned32, false, "Queue-Length"};
-inline constexpr AvpDef kSpareLines{4, kVendorOwn, T::kUnsigned32, false, "Spare-Lines"};
-inline constexpr AvpDef kTotalLines{5, kVendorOwn, T::kUnsigned32, false, "Total-Lines"};
-inline constexpr AvpDef kRetryAfter{6, kVendorOwn, T::kUnsigned32, false, "Retry-After"};  // ms
-inline constexpr AvpDef kRedialIndicator{7, kVendorOwn, T::kEnumerated, false, "Redial-Indicator", 0, 2};
-inline constexpr AvpDef kLinesRequired{8, kVendorOwn, T::kUnsigned32, false, "Lines-Required", 1, 1000000};
-inline constexpr AvpDef kRefusalCause{9, kVendorOwn, T::kEnumerated, false, "Refusal-Cause", 1, 4};
+inline constexpr AvpDef kServerLoad{1, kVendorMintrock, T::kGrouped, false, "Server-Load"};
+inline constexpr AvpDef kProcessorWait{2, kVendorMintrock, T::kUnsigned32, false, "Processor-Wait"};  // ms
+inline constexpr AvpDef kQueueLength{3, kVendorMintrock, T::kUnsigned32, false, "Queue-Length"};
+inline constexpr AvpDef kSpareLines{4, kVendorMintrock, T::kUnsigned32, false, "Spare-Lines"};
+inline constexpr AvpDef kTotalLines{5, kVendorMintrock, T::kUnsigned32, false, "Total-Lines"};
+inline constexpr AvpDef kRetryAfter{6, kVendorMintrock, T::kUnsigned32, false, "Retry-After"};  // ms
+inline constexpr AvpDef kRedialIndicator{7, kVendorMintrock, T::kEnumerated, false, "Redial-Indicator", 0, 2};
+inline constexpr AvpDef kLinesRequired{8, kVendorMintrock, T::kUnsigned32, false, "Lines-Required",
+                                       1, 1000000};
+inline constexpr AvpDef kRefusalCause{9, kVendorMintrock, T::kEnumerated, false, "Refusal-Cause", 1, 4};
 }  // namespace avp
 
 // Command codes.
-enum Command : std::uint32_t {
+enum CommandCode : std::uint32_t {
   kCapabilitiesExchange = 257,
   kReAuth = 258,
   kCreditControl = 272,
@@ -129,7 +130,7 @@
 inline constexpr std::uint32_t kApplicationRelay = 0xFFFFFFFFu;
 
 // Result-Code values, RFC 6733 section 7.1 and RFC 8506 section 9.
-enum Result : std::uint32_t {
+enum ResultCode : std::uint32_t {
   kSuccess = 2001,
   kCommandUnsupported = 3001,
   kUnableToDeliver = 3002,
@@ -163,15 +164,15 @@
 const AvpDef* find_avp(std::uint32_t code, std::uint32_t vendor);
 
 // Whether one AVP by itself passes `check`.
-bool well_formed(const AvpView& avp);
+bool is_well_formed(const AvpView& avp);
 
-bool known_command(std::uint32_t command);
+bool is_known_command(std::uint32_t command);
 
 // Checks a decoded message against the dictionary and its command's grammar: unknown AVPs with the M bit
 // (5001), flags (3009), lengths for the type (5014), values (5004), AVPs missing (5005), too many (5009) or
 // not allowed (5008). Groups are checked inside, 4 levels deep at most. Commands that are not known are not
 // checked.
-std::optional<Fault> check(const MessageView& message);
+std::optional<Fault> validate(const MessageView& message);
 
 }  // namespace mintrock::diameter
 
--- a/src/diameter/duplicates.hpp
+++ b/src/diameter/duplicate_cache.hpp
@@ -2,8 +2,8 @@
 // the answer that was given.
 //
 // Pure. Bounded in number and in age; the oldest goes first.
-#ifndef MINTROCK_SRC_DIAMETER_DUPLICATES_HPP_
-#define MINTROCK_SRC_DIAMETER_DUPLICATES_HPP_
+#ifndef MINTROCK_SRC_DIAMETER_DUPLICATE_CACHE_HPP_
+#define MINTROCK_SRC_DIAMETER_DUPLICATE_CACHE_HPP_
 
 #include <absl/container/flat_hash_map.h>
 #include <absl/hash/hash.h>
@@ -15,10 +15,10 @@
 
 namespace mintrock::diameter {
 
-class Duplicates {
+class DuplicateCache {
  public:
   // Keeps at most `most` requests, each for `keep_s` seconds.
-  Duplicates(std::size_t most, double keep_s) : most_(most), keep_s_(keep_s) {}
+  DuplicateCache(std::size_t most, double keep_s) : most_(most), keep_s_(keep_s) {}
 
   struct Entry {
     std::string answer;  // empty: not answered yet
@@ -28,7 +28,7 @@
   };
 
   // The entry if this request was seen before and is still kept, else null; then it is noted.
-  const Entry* seen(std::string_view host, std::uint32_t end_to_end, double now) {
+  const Entry* find_or_insert(std::string_view host, std::uint32_t end_to_end, double now) {
     const std::uint64_t key = key_of(host, end_to_end);
     if (Entry* known = find(key, host, end_to_end); known != nullptr && known->until > now) return known;
     // Places are used in turn, so the one that is taken over is the oldest. Its strings' memory is used
@@ -52,7 +52,7 @@
   }
 
   // Notes the answer that was given; nothing if the request is no longer kept.
-  void answered(std::string_view host, std::uint32_t end_to_end, std::string_view answer) {
+  void store_answer(std::string_view host, std::uint32_t end_to_end, std::string_view answer) {
     Entry* known = find(key_of(host, end_to_end), host, end_to_end);
     if (known != nullptr) known->answer.assign(answer);
   }
@@ -80,4 +80,4 @@
 
 }  // namespace mintrock::diameter
 
-#endif  // MINTROCK_SRC_DIAMETER_DUPLICATES_HPP_
+#endif  // MINTROCK_SRC_DIAMETER_DUPLICATE_CACHE_HPP_
--- a/src/diameter/watchdog.cpp
+++ b/src/diameter/watchdog.cpp
@@ -32,11 +32,11 @@
       if (!pending_) {
         out.send_watchdog = true;
         pending_ = true;
-      } else if (answers_ < 0) {
+      } else if (num_dwa_ < 0) {
         out.close_connection = true;
         state_ = State::kDown;
       } else {
-        answers_ = -1;
+        num_dwa_ = -1;
       }
       break;
   }
@@ -47,7 +47,7 @@
   Actions out;
   set_timer(now);
   if (state_ == State::kDown) {
-    answers_ = 0;
+    num_dwa_ = 0;
     out.send_watchdog = true;
     pending_ = true;
     state_ = State::kReopen;
@@ -69,7 +69,7 @@
   return out;
 }
 
-Watchdog::Actions Watchdog::on_answer(double now) {
+Watchdog::Actions Watchdog::on_dwa(double now) {
   Actions out;
   switch (state_) {
     case State::kOkay:
@@ -84,8 +84,8 @@
       break;
     case State::kReopen:
       pending_ = false;
-      answers_ += 1;
-      if (answers_ >= 3) {  // "until 3 watchdog messages have been received": NumDWA was 2
+      num_dwa_ += 1;
+      if (num_dwa_ >= 3) {  // "until 3 watchdog messages have been received": NumDWA was 2
         out.failback = true;
         state_ = State::kOkay;
       }
@@ -96,7 +96,7 @@
   return out;
 }
 
-Watchdog::Actions Watchdog::on_message(double now) {
+Watchdog::Actions Watchdog::on_non_dwa(double now) {
   Actions out;
   switch (state_) {
     case State::kOkay:
@@ -108,7 +108,7 @@
       state_ = State::kOkay;
       break;
     case State::kReopen:
-      out.throw_away = true;
+      out.discard_message = true;
       break;
     default:
       break;
@@ -116,10 +116,10 @@
   return out;
 }
 
-void Watchdog::forget(double now) {
+void Watchdog::reset(double now) {
   state_ = State::kInitial;
   pending_ = false;
-  answers_ = 0;
+  num_dwa_ = 0;
   set_timer(now);
 }
 
--- a/src/diameter/watchdog.hpp
+++ b/src/diameter/watchdog.hpp
@@ -18,16 +18,16 @@
     bool attempt_open = false;
     bool close_connection = false;
     bool send_watchdog = false;
-    bool failover = false;    // send nothing new here until failback
-    bool failback = false;    // the connection may be used again
-    bool throw_away = false;  // the message just received counts for nothing (REOPEN)
+    bool failover = false;         // send nothing new here until failback
+    bool failback = false;         // the connection may be used again
+    bool discard_message = false;  // the message just received counts for nothing (REOPEN)
   };
 
   // `tw_init_s`: seconds, 6 or more (section 3.4.1: not lower); each use is jittered by up to 2 s either way.
   Watchdog(double tw_init_s, std::uint64_t seed) : tw_init_(tw_init_s), random_(seed) {}
 
   State state() const { return state_; }
-  bool pending() const { return pending_; }
+  bool answer_pending() const { return pending_; }
   // When `on_timer` is due.
   double deadline() const { return deadline_; }
 
@@ -36,16 +36,16 @@
   Actions on_timer(double now);
   Actions on_connection_up(double now);
   Actions on_connection_down(double now);
-  Actions on_answer(double now);   // a DWA came
-  Actions on_message(double now);  // anything but a DWA came
+  Actions on_dwa(double now);      // a DWA came
+  Actions on_non_dwa(double now);  // anything but a DWA came
   // After a disconnection that both sides agreed on (DPR), the next connection begins anew in INITIAL.
-  void forget(double now);
+  void reset(double now);
 
  private:
   void set_timer(double now);
   State state_ = State::kInitial;
   bool pending_ = false;
-  int answers_ = 0;  // NumDWA
+  int num_dwa_ = 0;  // NumDWA
   double tw_init_;
   double deadline_ = 0;
   std::mt19937_64 random_;
--- a/src/edge/core_side.cpp
+++ b/src/edge/core_side.cpp
@@ -66,11 +66,11 @@
   diameter::PeerSettings settings;
   settings.host = server.entry.identity;
   settings.initiates = true;
-  settings.watchdog = config_.core.watchdog;
-  settings.tw_s = config_.core.watchdog_s;
-  settings.tc_s = config_.core.reconnect_s;
-  settings.answer_s = config_.core.connect_s;
-  settings.max_length = config_.max_message;
+  settings.watchdog_enabled = config_.core.watchdog;
+  settings.watchdog_interval_s = config_.core.watchdog_s;
+  settings.reconnect_interval_s = config_.core.reconnect_s;
+  settings.answer_timeout_s = config_.core.connect_s;
+  settings.max_message_length = config_.max_message;
   net::Address address;
   try {
     address = net::parse_address(server.entry.address);
@@ -110,11 +110,11 @@
   Server* server = find(id);
   if (server == nullptr || !server->link || stopping_) return Handover::kNotSent;
   const diameter::Peer& peer = server->link->peer();
-  if (peer.usable()) {
+  if (peer.can_send_requests()) {
     transmit(*server, {call, attempt}, give_up_after_s, std::move(record));
     return Handover::kTaken;
   }
-  if (peer.open()) return Handover::kNotSent;  // suspect: RFC 3539 sends nothing new there
+  if (peer.is_open()) return Handover::kNotSent;  // suspect: RFC 3539 sends nothing new there
   if (peer.state() == diameter::Peer::State::kClosing) return Handover::kNoWay;
   // Waits for the connection, for a while: at start, and after a break, it is about to stand.
   server->link->start();
@@ -141,7 +141,8 @@
 }
 
 void CoreSide::send_release(Server& server, RecordPtr record) {
-  if (!server.link || !server.link->peer().open()) return server.sessions.owe(std::move(record), loop_.now());
+  if (!server.link || !server.link->peer().is_open())
+    return server.sessions.owe(std::move(record), loop_.now());
   diameter::Peer& peer = server.link->peer();
   const std::uint32_t hop = peer.next_hop_by_hop();
   server.link->send(write_termination(*record, server.entry.identity, hop, peer.next_end_to_end()));
@@ -155,7 +156,7 @@
     const bool named = server->entry.identity == identity;
     // One that the list has taken off holds something only if it can still be asked.
     const bool may_hold =
-        server->entry.state != ServerEntry::State::kGone || (server->link && server->link->peer().open());
+        server->entry.state != ServerEntry::State::kGone || (server->link && server->link->peer().is_open());
     if (!server->link || (!named && !(identity.empty() && may_hold))) continue;
     if (!shared) shared = std::make_shared<CallRecord>(record);
     send_release(*server, shared);
@@ -203,7 +204,7 @@
 void CoreSide::on_up(Server& server) {
   ports_.core_event(server.entry.identity, "up", "");
   const double now = loop_.now();
-  CoreSessions::Back back = server.sessions.back(server.link->peer().peer_origin_state(), now);
+  CoreSessions::Back back = server.sessions.back(server.link->peer().peer_origin_state_id(), now);
   // Before anything new goes out: a session may be set up again under its old name.
   for (RecordPtr& each : back.releases) send_release(server, std::move(each));
   std::vector<CoreSessions::Waiting> waiting = server.sessions.take_waiting();
--- a/src/edge/credit_control.cpp
+++ b/src/edge/credit_control.cpp
@@ -97,8 +97,8 @@
   call.redial = number(request, avp::kRedialIndicator).value_or(0);
   call.request_number = number(request, avp::kCcRequestNumber).value_or(0);
   for (const AvpView& each : request.avps) {
-    if (each.code == avp::kProxyInfo.code && each.vendor == 0) append_padded(call.proxy_info, each.whole);
-    if (!own(each)) append_padded(call.passed_on, each.whole);
+    if (each.code == avp::kProxyInfo.code && each.vendor == 0) append_padded(call.proxy_info, each.encoded);
+    if (!own(each)) append_padded(call.passed_on, each.encoded);
   }
   return call;
 }
--- a/src/edge/diameter_front.cpp
+++ b/src/edge/diameter_front.cpp
@@ -9,12 +9,12 @@
 namespace mintrock::edge {
 
 using diameter::MessageView;
-using diameter::Result;
+using diameter::ResultCode;
 namespace {
 
 // The bytes that a view was decoded from.
 std::string frame_of(const MessageView& view) {
-  return std::string(view.avps.front().whole.data() - diameter::kHeaderSize, view.header.length);
+  return std::string(view.avps.front().encoded.data() - diameter::kHeaderSize, view.header.length);
 }
 
 }  // namespace
@@ -48,8 +48,9 @@
 }
 
 std::size_t DiameterFront::open_peers() const {
-  return static_cast<std::size_t>(std::count_if(
-      callers_.begin(), callers_.end(), [](const auto& each) { return each.second->link->peer().open(); }));
+  return static_cast<std::size_t>(std::count_if(callers_.begin(), callers_.end(), [](const auto& each) {
+    return each.second->link->peer().is_open();
+  }));
 }
 
 // ---- Connections ----
@@ -100,7 +101,7 @@
     if (!fault && (view.header.command != diameter::kCapabilitiesExchange || !view.header.request())) {
       return drop_gate(id, "the first message is no CER");
     }
-    if (!fault) fault = check(view);
+    if (!fault) fault = validate(view);
   }
   if (fault) {
     counts_.bad += 1;
@@ -113,7 +114,7 @@
   const std::unique_ptr<Gate> keep = std::move(gates_.at(id));  // the CER's bytes are its framer's
   gates_.erase(id);
   loop_.timers().cancel(keep->timer);
-  introduce(stream, view, keep->framer.rest());
+  introduce(stream, view, keep->framer.unread());
 }
 
 void DiameterFront::introduce(const std::shared_ptr<net::Stream>& stream, const MessageView& cer,
@@ -138,9 +139,9 @@
   slot->host = host;
   diameter::PeerSettings settings;
   settings.host = host;
-  settings.watchdog = true;
-  settings.tw_s = config_.callers.watchdog_s;
-  settings.max_length = config_.max_message;
+  settings.watchdog_enabled = true;
+  settings.watchdog_interval_s = config_.callers.watchdog_s;
+  settings.max_message_length = config_.max_message;
   PeerLink::Handlers handlers;
   Caller& caller = *slot;
   handlers.up = [this, &caller] {
@@ -211,14 +212,14 @@
       return on_end(caller, view);
     default:
       caller.link->send(error_answer(local_, view, diameter::kInvalidAvpValue,
-                                     view.find(diameter::avp::kCcRequestType.code)->whole,
+                                     view.find(diameter::avp::kCcRequestType.code)->encoded,
                                      "calls are set up (1) or ended (3)"));
   }
 }
 
 void DiameterFront::on_setup(Caller& caller, const MessageView& view, bool reopening) {
   auto record = std::make_shared<CallRecord>(read_setup(view, caller.host));
-  const auto* known = duplicates_.seen(record->origin_host, record->end_to_end, loop_.now());
+  const auto* known = duplicates_.find_or_insert(record->origin_host, record->end_to_end, loop_.now());
   if (known != nullptr) {
     counts_.duplicates += 1;
     // Its one answer, again; with this request's hop-by-hop id. If there is none yet, it will come once.
@@ -240,7 +241,7 @@
   }
   if (const auto fault = board_.refusal_of_setup(*record)) {
     std::string bytes = error_answer(local_, view, fault->result_code, fault->failed_avp, fault->text);
-    duplicates_.answered(record->origin_host, record->end_to_end, bytes);
+    duplicates_.store_answer(record->origin_host, record->end_to_end, bytes);
     caller.link->send(std::move(bytes));
     return;
   }
@@ -269,7 +270,7 @@
       answer.origin_realm = local_.realm;
       answer.text = "ended by the caller before it stood";
       std::string bytes = write_setup_answer(*open.record, answer);
-      duplicates_.answered(open.record->origin_host, open.record->end_to_end, bytes);
+      duplicates_.store_answer(open.record->origin_host, open.record->end_to_end, bytes);
       open.caller->link->send(std::move(bytes));
     }
     if (board_.hang_up(id)) return await_end(caller, std::move(again), session, 1, true);
@@ -319,7 +320,7 @@
 // Its connection may be gone; then it will ask again.
 void DiameterFront::send_to(const std::string& peer, std::string bytes) {
   const auto at = callers_.find(peer);
-  if (at != callers_.end() && at->second->link->peer().open()) at->second->link->send(std::move(bytes));
+  if (at != callers_.end() && at->second->link->peer().is_open()) at->second->link->send(std::move(bytes));
 }
 
 // One timer for all ends: the oldest is due first.
@@ -377,7 +378,7 @@
     answer.retry_after_s = 0;
   }
   std::string bytes = write_setup_answer(*open.record, answer);
-  duplicates_.answered(open.record->origin_host, open.record->end_to_end, bytes);
+  duplicates_.store_answer(open.record->origin_host, open.record->end_to_end, bytes);
   open.caller->link->send(std::move(bytes));
 }
 
@@ -385,7 +386,7 @@
   const auto found = open_.find(id);
   if (found == open_.end()) return;
   PeerLink& link = *found->second.caller->link;
-  if (!link.peer().open()) return;
+  if (!link.peer().is_open()) return;
   counts_.aborted += 1;
   diameter::Peer& peer = link.peer();
   const std::uint32_t hop = peer.next_hop_by_hop();
--- a/src/edge/diameter_front.hpp
+++ b/src/edge/diameter_front.hpp
@@ -10,7 +10,7 @@
 #include <string>
 #include <unordered_map>
 
-#include "diameter/duplicates.hpp"
+#include "diameter/duplicate_cache.hpp"
 #include "edge/config.hpp"
 #include "edge/endings.hpp"
 #include "edge/front.hpp"
@@ -108,7 +108,7 @@
   std::map<std::string, std::unique_ptr<Caller>> callers_;
   std::unordered_map<CallId, Open> open_;
   std::unordered_map<std::string, CallId> sessions_;
-  diameter::Duplicates duplicates_;
+  diameter::DuplicateCache duplicates_;
   Endings endings_;
   net::TimerId ends_timer_ = 0;
   FrontCounts counts_;
--- a/src/edge/edge.cpp
+++ b/src/edge/edge.cpp
@@ -34,7 +34,7 @@
   local.host = config.node.identity;
   local.realm = config.node.realm;
   local.address = config.node.listen.ip;
-  local.origin_state = static_cast<std::uint32_t>(net::wall_now());
+  local.origin_state_id = static_cast<std::uint32_t>(net::wall_now());
   return local;
 }
 
--- a/src/edge/peer_link.cpp
+++ b/src/edge/peer_link.cpp
@@ -4,7 +4,7 @@
 
 namespace mintrock::edge {
 
-using diameter::Link;
+using diameter::Connection;
 
 PeerLink::PeerLink(net::Loop& loop, const diameter::LocalNode& local, diameter::PeerSettings settings,
                    std::uint64_t seed, std::optional<net::Address> address, std::size_t max_unsent,
@@ -35,51 +35,51 @@
 bool PeerLink::adopt(std::shared_ptr<net::Stream> accepted, const diameter::MessageView& cer,
                      std::string_view rest) {
   // In place before the machine answers over it.
-  std::shared_ptr<net::Stream> before = std::exchange(stream(Link::kAccepted), accepted);
+  std::shared_ptr<net::Stream> before = std::exchange(stream(Connection::kAccepted), accepted);
   std::string reply;
   if (!peer_.accept(cer, loop_.now(), reply)) {
-    stream(Link::kAccepted) = std::move(before);
+    stream(Connection::kAccepted) = std::move(before);
     accepted->write(reply);
     accepted->close_after_flush();
     return false;
   }
-  watch(Link::kAccepted);
-  if (!rest.empty()) peer_.received(Link::kAccepted, rest, loop_.now());
+  watch(Connection::kAccepted);
+  if (!rest.empty()) peer_.on_received(Connection::kAccepted, rest, loop_.now());
   reschedule();
   return true;
 }
 
 void PeerLink::connect() {
   if (!address_) return;
-  stream(Link::kInitiated) = net::Stream::connect(loop_, *address_, max_unsent_);
-  watch(Link::kInitiated);
+  stream(Connection::kInitiated) = net::Stream::connect(loop_, *address_, max_unsent_);
+  watch(Connection::kInitiated);
 }
 
-void PeerLink::watch(Link link) {
+void PeerLink::watch(Connection link) {
   const std::shared_ptr<net::Stream> watched = stream(link);
   // A stream that was replaced says nothing more.
   const std::weak_ptr<net::Stream> weak = watched;
   const auto current = [this, link, weak] { return stream(link) == weak.lock(); };
   net::Stream::Handlers handlers;
-  const auto connected = std::make_shared<bool>(link == Link::kAccepted);
+  const auto connected = std::make_shared<bool>(link == Connection::kAccepted);
   handlers.on_connected = [this, current, connected] {
     if (!current()) return;
     *connected = true;
-    peer_.connected(loop_.now());
+    peer_.on_connected(loop_.now());
     reschedule();
   };
   handlers.on_bytes = [this, link, current](std::string_view bytes) {
     if (!current()) return;
-    peer_.received(link, bytes, loop_.now());
+    peer_.on_received(link, bytes, loop_.now());
     reschedule();
   };
   handlers.on_closed = [this, link, current, connected](const std::string& why) {
     if (!current()) return;
     stream(link).reset();
     if (*connected) {
-      peer_.closed(link, loop_.now(), why);
+      peer_.on_closed(link, loop_.now(), why);
     } else {
-      peer_.connect_failed(loop_.now());
+      peer_.on_connect_failed(loop_.now());
       if (handlers_.refused) handlers_.refused(why);
     }
     reschedule();
@@ -87,11 +87,11 @@
   watched->set(std::move(handlers));
 }
 
-void PeerLink::send(Link link, std::string bytes) {
+void PeerLink::send(Connection link, std::string bytes) {
   if (stream(link)) stream(link)->write(bytes);
 }
 
-void PeerLink::close(Link link) {
+void PeerLink::close(Connection link) {
   // What was written last (a DPA, an error answer) still goes out.
   if (stream(link)) std::exchange(stream(link), nullptr)->close_after_flush();
 }
--- a/src/edge/peer_link.hpp
+++ b/src/edge/peer_link.hpp
@@ -12,7 +12,7 @@
 
 namespace mintrock::edge {
 
-class PeerLink : private diameter::PeerSink {
+class PeerLink : private diameter::PeerDelegate {
  public:
   struct Handlers {
     std::function<void()> up;
@@ -40,20 +40,20 @@
 
  private:
   void connect() override;
-  void send(diameter::Link link, std::string bytes) override;
-  void close(diameter::Link link) override;
-  void up() override { handlers_.up(); }
-  void down(const std::string& why) override { handlers_.down(why); }
-  void suspect(bool now_suspect) override { handlers_.suspect(now_suspect); }
-  void message(const diameter::MessageView& view, bool reopening) override {
+  void send(diameter::Connection link, std::string bytes) override;
+  void close(diameter::Connection link) override;
+  void on_up() override { handlers_.up(); }
+  void on_down(const std::string& why) override { handlers_.down(why); }
+  void on_suspect_change(bool now_suspect) override { handlers_.suspect(now_suspect); }
+  void on_message(const diameter::MessageView& view, bool reopening) override {
     handlers_.message(view, reopening);
   }
-  void bad(const std::string& what) override { handlers_.bad(what); }
+  void on_protocol_error(const std::string& what) override { handlers_.bad(what); }
 
-  std::shared_ptr<net::Stream>& stream(diameter::Link link) {
-    return streams_[link == diameter::Link::kInitiated ? 0 : 1];
+  std::shared_ptr<net::Stream>& stream(diameter::Connection link) {
+    return streams_[link == diameter::Connection::kInitiated ? 0 : 1];
   }
-  void watch(diameter::Link link);
+  void watch(diameter::Connection link);
   void reschedule();
 
   net::Loop& loop_;
--- a/src/lab/bench.cpp
+++ b/src/lab/bench.cpp
@@ -278,7 +278,7 @@
   std::uint64_t last = 0;
   std::uint32_t hop = 0;
   const auto frame_of = [](const MessageView& view) {
-    return std::string(view.avps.front().whole.data() - diameter::kHeaderSize, view.header.length);
+    return std::string(view.avps.front().encoded.data() - diameter::kHeaderSize, view.header.length);
   };
   std::unique_ptr<Line> core;
   Line::Handlers from_core;
--- a/src/lab/line.cpp
+++ b/src/lab/line.cpp
@@ -85,7 +85,7 @@
   builder.text(avp::kOriginHost, host)
       .text(avp::kOriginRealm, kRealm)
       .ipv4(avp::kHostIpAddress, 0x7F000001)
-      .u32(avp::kVendorId, diameter::kVendorOwn)
+      .u32(avp::kVendorId, diameter::kVendorMintrock)
       .text(avp::kProductName, "mintrock-lab")
       .u32(avp::kOriginStateId, origin_state)
       .u32(avp::kAuthApplicationId, diameter::kApplicationCreditControl);
--- a/tests/diameter/codec_test.cpp
+++ b/tests/diameter/codec_test.cpp
@@ -5,7 +5,7 @@
 #include <string>
 
 #include "diameter/dictionary.hpp"
-#include "diameter/duplicates.hpp"
+#include "diameter/duplicate_cache.hpp"
 #include "diameter/peer.hpp"
 
 namespace mintrock::diameter {
@@ -35,7 +35,7 @@
 std::uint32_t verdict(const std::string& frame) {
   MessageView view;
   auto fault = decode(frame, view);
-  if (!fault) fault = check(view);
+  if (!fault) fault = validate(view);
   return fault ? fault->result_code : 0;
 }
 
@@ -46,13 +46,13 @@
   const std::string frame = b.finish();
   MessageView view;
   ASSERT_FALSE(decode(frame, view));
-  EXPECT_FALSE(check(view));
+  EXPECT_FALSE(validate(view));
   EXPECT_EQ(view.header.length, frame.size());
   EXPECT_EQ(view.header.end_to_end, 0xFFFFFFFF);
   EXPECT_EQ(view.find(avp::kSessionId.code)->data, "dock-1;1;2");
   EXPECT_EQ(as_u32(*view.find(avp::kMaximumWaitTime.code, kVendor3gpp)), 2500u);
   std::vector<AvpView> inner;
-  ASSERT_FALSE(split_avps(view.find(avp::kServerLoad.code, kVendorOwn)->data, inner));
+  ASSERT_FALSE(split_avps(view.find(avp::kServerLoad.code, kVendorMintrock)->data, inner));
   ASSERT_EQ(inner.size(), 2u);
   EXPECT_EQ(as_u32(inner[1]), 3u);
 }
@@ -169,24 +169,24 @@
   const std::string bytes = error_answer(local, request, kLoopDetected, {}, "loop");
   MessageView answer;
   ASSERT_FALSE(decode(bytes, answer));
-  EXPECT_FALSE(check(answer));
+  EXPECT_FALSE(validate(answer));
   EXPECT_EQ(answer.header.flags, kProxiable | kErrorBit);
   EXPECT_EQ(answer.header.hop_by_hop, 7u);
-  EXPECT_EQ(answer.find(avp::kProxyInfo.code)->whole, request.find(avp::kProxyInfo.code)->whole);
+  EXPECT_EQ(answer.find(avp::kProxyInfo.code)->encoded, request.find(avp::kProxyInfo.code)->encoded);
   EXPECT_EQ(answer.find(avp::kSessionId.code)->data, "dock-1;1;2");
 }
 
-TEST(Duplicates, AreKnownUntilTheyAreOldOrTooMany) {
-  Duplicates seen(3, 10.0);
-  EXPECT_EQ(seen.seen("a", 1, 0), nullptr);
-  const Duplicates::Entry* entry = seen.seen("a", 1, 1);
+TEST(DuplicateCache, AreKnownUntilTheyAreOldOrTooMany) {
+  DuplicateCache seen(3, 10.0);
+  EXPECT_EQ(seen.find_or_insert("a", 1, 0), nullptr);
+  const DuplicateCache::Entry* entry = seen.find_or_insert("a", 1, 1);
   ASSERT_NE(entry, nullptr);
   EXPECT_TRUE(entry->answer.empty());
-  seen.answered("a", 1, "answer");
-  EXPECT_EQ(seen.seen("a", 1, 2)->answer, "answer");
-  EXPECT_EQ(seen.seen("b", 1, 2), nullptr) << "the host counts too";
-  EXPECT_EQ(seen.seen("a", 1, 10.5), nullptr) << "too old";
-  for (std::uint32_t i = 0; i < 100; ++i) seen.seen("c", i, 11);
+  seen.store_answer("a", 1, "answer");
+  EXPECT_EQ(seen.find_or_insert("a", 1, 2)->answer, "answer");
+  EXPECT_EQ(seen.find_or_insert("b", 1, 2), nullptr) << "the host counts too";
+  EXPECT_EQ(seen.find_or_insert("a", 1, 10.5), nullptr) << "too old";
+  for (std::uint32_t i = 0; i < 100; ++i) seen.find_or_insert("c", i, 11);
   EXPECT_LE(seen.size(), 3u);
 }
 
--- a/tests/diameter/fuzz_test.cpp
+++ b/tests/diameter/fuzz_test.cpp
@@ -13,18 +13,18 @@
 namespace mintrock::diameter {
 namespace {
 
-struct Quiet : PeerSink {
+struct Quiet : PeerDelegate {
   void connect() override {}
-  void send(Link, std::string bytes) override {
+  void send(Connection, std::string bytes) override {
     MessageView view;
-    if (decode(bytes, view) || check(view)) broken += 1;
+    if (decode(bytes, view) || validate(view)) broken += 1;
   }
-  void close(Link) override {}
-  void up() override {}
-  void down(const std::string&) override {}
-  void suspect(bool) override {}
-  void message(const MessageView&, bool) override { messages += 1; }
-  void bad(const std::string&) override { faults += 1; }
+  void close(Connection) override {}
+  void on_up() override {}
+  void on_down(const std::string&) override {}
+  void on_suspect_change(bool) override {}
+  void on_message(const MessageView&, bool) override { messages += 1; }
+  void on_protocol_error(const std::string&) override { faults += 1; }
   long broken = 0, messages = 0, faults = 0;
 };
 
@@ -93,23 +93,23 @@
   local.host = "b";
   local.realm = "example";
   PeerSettings settings;
-  settings.max_length = 4096;
+  settings.max_message_length = 4096;
   Quiet sink;
   auto peer = std::make_unique<Peer>(local, settings, 1, sink);
   MessageView view;
   long decoded = 0;
   for (long i = 0; i < 1000000; ++i) {
     const std::string bytes = mutate(seeds[random() % seeds.size()], random);
-    if (!decode(bytes, view) && !check(view)) decoded += 1;
+    if (!decode(bytes, view) && !validate(view)) decoded += 1;
     ASSERT_LE(view.avps.size(), bytes.size() / 8 + 1);
     if (i % 4 != 0) continue;  // the peer machine costs more
-    if (!peer->open()) {
+    if (!peer->is_open()) {
       peer = std::make_unique<Peer>(local, settings, static_cast<std::uint64_t>(i), sink);
       std::string reply;
       ASSERT_FALSE(decode(seeds[0], view));
       ASSERT_TRUE(peer->accept(view, 0, reply));
     }
-    peer->received(Link::kAccepted, bytes, 0);
+    peer->on_received(Connection::kAccepted, bytes, 0);
   }
   EXPECT_GT(decoded, 10000) << "the mutator must leave some whole";
   EXPECT_GT(sink.faults, 10000);
--- a/tests/diameter/peer_test.cpp
+++ b/tests/diameter/peer_test.cpp
@@ -9,32 +9,32 @@
 namespace mintrock::diameter {
 namespace {
 
-struct Side : PeerSink {
+struct Side : PeerDelegate {
   Side(const std::string& host, const std::string& other, bool initiates, bool watchdog = true) {
     local.host = host;
     local.realm = "example";
     PeerSettings settings;
     settings.host = other;
     settings.initiates = initiates;
-    settings.watchdog = watchdog;
-    settings.tw_s = 30;
-    settings.tc_s = 30;
+    settings.watchdog_enabled = watchdog;
+    settings.watchdog_interval_s = 30;
+    settings.reconnect_interval_s = 30;
     peer = std::make_unique<Peer>(local, settings, 1, *this);
   }
   void connect() override { connects += 1; }
-  void send(Link link, std::string bytes) override {
-    (link == Link::kInitiated ? sent_i : sent_r).push_back(bytes);
+  void send(Connection link, std::string bytes) override {
+    (link == Connection::kInitiated ? sent_i : sent_r).push_back(bytes);
   }
-  void close(Link link) override { (link == Link::kInitiated ? closed_i : closed_r) += 1; }
-  void up() override { ups += 1; }
-  void down(const std::string&) override { downs += 1; }
-  void suspect(bool now_suspect) override { is_suspect = now_suspect; }
-  void message(const MessageView& view, bool reopening) override {
+  void close(Connection link) override { (link == Connection::kInitiated ? closed_i : closed_r) += 1; }
+  void on_up() override { ups += 1; }
+  void on_down(const std::string&) override { downs += 1; }
+  void on_suspect_change(bool now_suspect) override { is_suspect = now_suspect; }
+  void on_message(const MessageView& view, bool reopening) override {
     messages += 1;
     last = view.header;
     thrown += reopening;
   }
-  void bad(const std::string& what) override { faults.push_back(what); }
+  void on_protocol_error(const std::string& what) override { faults.push_back(what); }
 
   LocalNode local;
   std::unique_ptr<Peer> peer;
@@ -60,10 +60,10 @@
 // a opens toward b, both end open.
 void open_pair(Side& a, Side& b, double now) {
   a.peer->start(now);
-  a.peer->connected(now);
+  a.peer->on_connected(now);
   std::string reply;
   ASSERT_TRUE(b.peer->accept(view_of(a.sent_i.back()), now, reply));
-  a.peer->received(Link::kInitiated, b.sent_r.back(), now);
+  a.peer->on_received(Connection::kInitiated, b.sent_r.back(), now);
   ASSERT_EQ(a.peer->state(), Peer::State::kIOpen);
   ASSERT_EQ(b.peer->state(), Peer::State::kROpen);
 }
@@ -89,7 +89,7 @@
   open_pair(a, b, 0);
   EXPECT_EQ(a.ups, 1);
   EXPECT_TRUE(a.peer->send(setup(5)));
-  b.peer->received(Link::kAccepted, a.sent_i.back(), 1);
+  b.peer->on_received(Connection::kAccepted, a.sent_i.back(), 1);
   EXPECT_EQ(b.messages, 1);
   EXPECT_EQ(b.last.hop_by_hop, 5u);
 }
@@ -98,14 +98,14 @@
   Side a("a", "b", true);
   Side b("b", "a", false);
   open_pair(a, b, 0);
-  b.peer->received(Link::kAccepted, setup(1, 999), 1);
+  b.peer->on_received(Connection::kAccepted, setup(1, 999), 1);
   EXPECT_EQ(result_of(b.sent_r.back()), kCommandUnsupported);
-  b.peer->received(Link::kAccepted, setup(2, kCreditControl, 77), 1);
+  b.peer->on_received(Connection::kAccepted, setup(2, kCreditControl, 77), 1);
   EXPECT_EQ(result_of(b.sent_r.back()), kApplicationUnsupported);
-  b.peer->received(Link::kAccepted, setup(3, kCreditControl, 4, "b"), 1);
+  b.peer->on_received(Connection::kAccepted, setup(3, kCreditControl, 4, "b"), 1);
   EXPECT_EQ(result_of(b.sent_r.back()), kLoopDetected);
   EXPECT_EQ(b.messages, 0);
-  EXPECT_TRUE(b.peer->open());
+  EXPECT_TRUE(b.peer->is_open());
 }
 
 TEST(Peer, AnswersAreNeverAnswered) {
@@ -115,7 +115,7 @@
   const std::size_t before = b.sent_r.size();
   std::string answer = setup(1);
   answer[4] = kProxiable;  // no Result-Code: malformed as an answer
-  b.peer->received(Link::kAccepted, answer, 1);
+  b.peer->on_received(Connection::kAccepted, answer, 1);
   EXPECT_EQ(b.sent_r.size(), before);
   EXPECT_EQ(b.faults.size(), 1u);
   EXPECT_EQ(b.messages, 0);
@@ -127,7 +127,7 @@
   open_pair(a, b, 0);
   std::string bad = setup(1);
   bad[3] = 3;
-  b.peer->received(Link::kAccepted, bad, 1);
+  b.peer->on_received(Connection::kAccepted, bad, 1);
   EXPECT_EQ(result_of(b.sent_r.back()), kInvalidMessageLength);
   EXPECT_EQ(b.peer->state(), Peer::State::kClosed);
   EXPECT_EQ(b.downs, 1);
@@ -153,15 +153,15 @@
   Side b("b", "a", true);
   a.peer->start(0);
   b.peer->start(0);
-  a.peer->connected(0);
-  b.peer->connected(0);
+  a.peer->on_connected(0);
+  b.peer->on_connected(0);
   std::string reply;
   ASSERT_TRUE(a.peer->accept(view_of(b.sent_i.back()), 0, reply));
   EXPECT_EQ(a.peer->state(), Peer::State::kWaitReturns) << "a is lower: it waits for what b does";
   ASSERT_TRUE(b.peer->accept(view_of(a.sent_i.back()), 0, reply));
   EXPECT_EQ(b.peer->state(), Peer::State::kROpen) << "b is higher: it keeps the one it accepted";
   EXPECT_EQ(b.closed_i, 1);
-  a.peer->received(Link::kInitiated, b.sent_r.back(), 0);
+  a.peer->on_received(Connection::kInitiated, b.sent_r.back(), 0);
   EXPECT_EQ(a.peer->state(), Peer::State::kIOpen);
   EXPECT_EQ(a.closed_r, 1);
   EXPECT_EQ(a.ups, 1);
@@ -173,14 +173,14 @@
   Side b("b", "a", true);
   a.peer->start(0);
   b.peer->start(0);
-  b.peer->connected(0);
+  b.peer->on_connected(0);
   std::string reply;
   ASSERT_TRUE(a.peer->accept(view_of(b.sent_i.back()), 0, reply));
   EXPECT_EQ(a.peer->state(), Peer::State::kWaitConnAckElect);
-  a.peer->connect_failed(0);
+  a.peer->on_connect_failed(0);
   EXPECT_EQ(a.peer->state(), Peer::State::kROpen);
-  b.peer->received(Link::kInitiated, a.sent_r.back(), 0);
-  EXPECT_TRUE(b.peer->open());
+  b.peer->on_received(Connection::kInitiated, a.sent_r.back(), 0);
+  EXPECT_TRUE(b.peer->is_open());
 }
 
 TEST(Peer, ASecondConnectionOfAnOpenPeerIsRejected) {
@@ -189,7 +189,7 @@
   open_pair(a, b, 0);
   std::string reply;
   EXPECT_FALSE(b.peer->accept(view_of(a.sent_i.back()), 1, reply));
-  EXPECT_TRUE(b.peer->open());
+  EXPECT_TRUE(b.peer->is_open());
 }
 
 TEST(Peer, EachCauseOfDprIsAnsweredAndReconnectionFollowsIt) {
@@ -199,11 +199,11 @@
     Side b("b", "a", false);
     open_pair(a, b, 0);
     b.peer->stop(cause, 1);
-    a.peer->received(Link::kInitiated, b.sent_r.back(), 1);
-    EXPECT_EQ(a.peer->peer_cause(), cause);
-    b.peer->received(Link::kAccepted, a.sent_i.back(), 1);
+    a.peer->on_received(Connection::kInitiated, b.sent_r.back(), 1);
+    EXPECT_EQ(a.peer->peer_disconnect_cause(), cause);
+    b.peer->on_received(Connection::kAccepted, a.sent_i.back(), 1);
     EXPECT_EQ(b.peer->state(), Peer::State::kClosed);
-    a.peer->closed(Link::kInitiated, 1);
+    a.peer->on_closed(Connection::kInitiated, 1);
     EXPECT_EQ(a.peer->state(), Peer::State::kClosed);
     EXPECT_EQ(a.peer->watchdog_state(), Watchdog::State::kInitial) << "agreed: not DOWN";
     a.peer->tick(40);
@@ -228,30 +228,30 @@
   open_pair(a, b, 0);
   a.peer->tick(a.peer->deadline());
   EXPECT_EQ(view_of(a.sent_i.back()).header.command, kDeviceWatchdog);
-  EXPECT_TRUE(a.peer->usable());
+  EXPECT_TRUE(a.peer->can_send_requests());
   a.peer->tick(a.peer->deadline());
   EXPECT_TRUE(a.is_suspect);
-  EXPECT_FALSE(a.peer->usable());
+  EXPECT_FALSE(a.peer->can_send_requests());
   a.peer->tick(a.peer->deadline());
   EXPECT_EQ(a.peer->state(), Peer::State::kClosed);
   EXPECT_EQ(a.downs, 1);
   // Back again: REOPEN until three answers have come, and what comes before is thrown away.
   a.peer->tick(a.peer->deadline());
-  a.peer->connected(200);
-  b.peer->closed(Link::kAccepted, 199);
+  a.peer->on_connected(200);
+  b.peer->on_closed(Connection::kAccepted, 199);
   std::string reply;
   ASSERT_TRUE(b.peer->accept(view_of(a.sent_i.back()), 200, reply));
-  a.peer->received(Link::kInitiated, b.sent_r.back(), 200);
+  a.peer->on_received(Connection::kInitiated, b.sent_r.back(), 200);
   EXPECT_EQ(a.peer->watchdog_state(), Watchdog::State::kReopen);
-  EXPECT_FALSE(a.peer->usable());
-  a.peer->received(Link::kInitiated, setup(9), 200);
+  EXPECT_FALSE(a.peer->can_send_requests());
+  a.peer->on_received(Connection::kInitiated, setup(9), 200);
   EXPECT_EQ(a.thrown, 1);
   for (int i = 0; i < 3; ++i) {
-    b.peer->received(Link::kAccepted, a.sent_i.back(), 201);
-    a.peer->received(Link::kInitiated, b.sent_r.back(), 201);
+    b.peer->on_received(Connection::kAccepted, a.sent_i.back(), 201);
+    a.peer->on_received(Connection::kInitiated, b.sent_r.back(), 201);
     if (i < 2) a.peer->tick(a.peer->deadline());
   }
-  EXPECT_TRUE(a.peer->usable());
+  EXPECT_TRUE(a.peer->can_send_requests());
 }
 
 TEST(Peer, WatchdogRequestsAreAnsweredEvenWhereNoneAreSent) {
@@ -260,14 +260,14 @@
   open_pair(a, b, 0);
   EXPECT_GT(b.peer->deadline(), 1e9) << "no watchdog of its own";
   a.peer->tick(a.peer->deadline());
-  b.peer->received(Link::kAccepted, a.sent_i.back(), 31);
+  b.peer->on_received(Connection::kAccepted, a.sent_i.back(), 31);
   EXPECT_EQ(result_of(b.sent_r.back()), kSuccess);
 }
 
 TEST(Peer, AConnectionThatNeverAnswersTheCerIsGivenUpAndTriedAgainAfterTc) {
   Side a("a", "b", true);
   a.peer->start(0);
-  a.peer->connected(0);
+  a.peer->on_connected(0);
   a.peer->tick(10);
   EXPECT_EQ(a.peer->state(), Peer::State::kClosed);
   EXPECT_EQ(a.closed_i, 1);
--- a/tests/diameter/watchdog_test.cpp
+++ b/tests/diameter/watchdog_test.cpp
@@ -52,11 +52,11 @@
 TEST(Watchdog, TrafficPutsTheTimerOffButDoesNotAnswer) {
   Watchdog dog = up();
   dog.on_timer(30);
-  dog.on_message(40);
+  dog.on_non_dwa(40);
   EXPECT_GT(dog.deadline(), 67.9);
-  EXPECT_TRUE(dog.pending()) << "only a DWA clears Pending";
-  dog.on_answer(41);
-  EXPECT_FALSE(dog.pending());
+  EXPECT_TRUE(dog.answer_pending()) << "only a DWA clears Pending";
+  dog.on_dwa(41);
+  EXPECT_FALSE(dog.answer_pending());
 }
 
 TEST(Watchdog, ASuspectComesBackByAnAnswerOrAnyMessage) {
@@ -64,7 +64,7 @@
     Watchdog dog = up();
     dog.on_timer(30);
     dog.on_timer(60);
-    EXPECT_TRUE((answer ? dog.on_answer(61) : dog.on_message(61)).failback);
+    EXPECT_TRUE((answer ? dog.on_dwa(61) : dog.on_non_dwa(61)).failback);
     EXPECT_EQ(dog.state(), State::kOkay);
   }
 }
@@ -75,13 +75,13 @@
   EXPECT_EQ(dog.state(), State::kDown);
   EXPECT_TRUE(dog.on_connection_up(20).send_watchdog);
   EXPECT_EQ(dog.state(), State::kReopen);
-  EXPECT_TRUE(dog.on_message(21).throw_away);
-  dog.on_answer(22);
+  EXPECT_TRUE(dog.on_non_dwa(21).discard_message);
+  dog.on_dwa(22);
   EXPECT_TRUE(dog.on_timer(50).send_watchdog);
-  dog.on_answer(51);
+  dog.on_dwa(51);
   EXPECT_EQ(dog.state(), State::kReopen);
   EXPECT_TRUE(dog.on_timer(80).send_watchdog);
-  EXPECT_TRUE(dog.on_answer(81).failback);
+  EXPECT_TRUE(dog.on_dwa(81).failback);
   EXPECT_EQ(dog.state(), State::kOkay);
 }
 
--- a/tests/edge/edge_test.cpp
+++ b/tests/edge/edge_test.cpp
@@ -43,7 +43,7 @@
 
 // A view's own bytes are gone once its handler has returned.
 std::string bytes_of(const MessageView& view) {
-  return std::string(view.avps.front().whole.data() - diameter::kHeaderSize, view.header.length);
+  return std::string(view.avps.front().encoded.data() - diameter::kHeaderSize, view.header.length);
 }
 
 // A Diameter node whose every move the test makes.
@@ -95,7 +95,7 @@
   }
   void success(Line& line, const MessageView& view) {
     Builder b(diameter::answer_header(view.header, false));
-    if (const auto* session = view.find(avp::kSessionId.code)) b.raw(session->whole);
+    if (const auto* session = view.find(avp::kSessionId.code)) b.raw(session->encoded);
     b.u32(avp::kResultCode, diameter::kSuccess);
     if (view.header.command == diameter::kCapabilitiesExchange) {
       lab::write_capabilities(b, host, origin_state);
@@ -270,7 +270,7 @@
     EXPECT_EQ(view.find(avp::kOriginHost.code)->data, "dock-1.test") << "a proxy leaves the origin";
     EXPECT_EQ(view.find(avp::kRouteRecord.code)->data, "dock-1.test");
     EXPECT_EQ(view.header.end_to_end, 7u);
-    EXPECT_FALSE(diameter::check(view));
+    EXPECT_FALSE(diameter::validate(view));
     core.success(line, view);
   };
   Builder info{Header{}};
@@ -573,7 +573,7 @@
     local.host = core.host;
     local.realm = "test";
     line.send(diameter::error_answer(local, view, diameter::kAvpUnsupported,
-                                     view.find(avp::kCcRequestType.code)->whole, "not known here"));
+                                     view.find(avp::kCcRequestType.code)->encoded, "not known here"));
   };
   for (std::uint32_t i = 1; i <= 6; ++i) caller.ccr("s" + std::to_string(i), 1, i);
   wait([&] { return caller.answers.size() == 6; }, "answers");
@@ -582,7 +582,7 @@
   EXPECT_EQ(result_of(view), diameter::kAvpUnsupported);
   EXPECT_EQ(view.find(avp::kOriginHost.code)->data, core.host) << "who says so";
   EXPECT_EQ(view.find(avp::kErrorMessage.code)->data, "not known here");
-  EXPECT_EQ(view.find(avp::kRetryAfter.code, diameter::kVendorOwn), nullptr);
+  EXPECT_EQ(view.find(avp::kRetryAfter.code, diameter::kVendorMintrock), nullptr);
   EXPECT_EQ(describe_failed_avp(view.find(avp::kFailedAvp.code)->data), "CC-Request-Type (416)");
   EXPECT_EQ(core.setups, 6) << "the same server again can't help";
   std::string page;
@@ -628,7 +628,7 @@
   core.on_setup = [&](Line& line, const MessageView& view) {
     seen = foreign(view);
     Builder b(diameter::answer_header(view.header, true));
-    b.raw(view.find(avp::kSessionId.code)->whole).u32(avp::kResultCode, diameter::kTooBusy);
+    b.raw(view.find(avp::kSessionId.code)->encoded).u32(avp::kResultCode, diameter::kTooBusy);
     b.text(avp::kOriginHost, core.host).text(avp::kOriginRealm, "test");
     line.send(b.finish());
   };
