--- a/src/diameter/codec.hpp
+++ b/src/diameter/codec.hpp
@@ -1,7 +1,7 @@
-// Diameter messages as bytes (RFC 6733 sections 3 and 4): framing, decoding into views, building.
+// The encoding of Diameter messages (RFC 6733 sections 3 and 4): framing, decoding into views, building.
 //
-// Pure: bytes in, bytes out. A MessageView points into the frame that it was decoded from and lives no
-// longer. Nothing here allocates by a length that the other side named.
+// A pure module: it does no I/O and reads no clock. A MessageView points into the frame that it was decoded
+// from and must not outlive it. No allocation is sized by a length field that the peer sent.
 #ifndef MINTROCK_SRC_DIAMETER_CODEC_HPP_
 #define MINTROCK_SRC_DIAMETER_CODEC_HPP_
 
@@ -15,7 +15,7 @@
 namespace mintrock::diameter {
 
 inline constexpr std::size_t kHeaderSize = 20;
-inline constexpr std::uint32_t kMaxLength = 0xFFFFFF;  // the length field has 24 bits
+inline constexpr std::uint32_t kMaxLength = 0xFFFFFF;  // length fields have 24 bits
 
 // Command flags, RFC 6733 section 3.
 enum CommandFlag : std::uint8_t {
@@ -48,84 +48,86 @@
   std::string_view encoded;  // header and data, without padding
 };
 
-// What is wrong with a message, in the terms of RFC 6733 section 7.
+// An error in a message, described as in RFC 6733 section 7.
 struct Fault {
   std::uint32_t result_code = 0;
-  std::string failed_avp;  // an encoded AVP to put into Failed-AVP; empty: none
-  std::string text;        // one line, names what and where
+  std::string failed_avp;  // the encoded AVP to put into Failed-AVP; empty: none
+  std::string text;        // one line: what is wrong, and where
 };
 
 struct MessageView {
   Header header;
   std::vector<AvpView> avps;
 
-  // The first AVP of this code and vendor, or null.
+  // Returns the first AVP with this code and vendor, or null.
   const AvpView* find(std::uint32_t code, std::uint32_t vendor = 0) const;
 };
 
-// Reads a header from at least kHeaderSize bytes; checks nothing.
+// Reads a header from at least kHeaderSize bytes, without validating it.
 Header read_header(std::string_view bytes);
 
-// Splits a buffer of AVPs (a message's body, or a grouped AVP's data). Fails with 5014 (AVP length) if one is
-// shorter than its own header, or runs past the end.
+// Splits a buffer of AVPs: the body of a message or the data of a grouped AVP. Returns a fault with 5014 (AVP
+// length) if an AVP is shorter than its own header or extends past the end of the buffer.
 std::optional<Fault> split_avps(std::string_view bytes, std::vector<AvpView>& out);
 
-// Decodes one whole frame. Checks version (5011), length (5015), command flags (3008) and the AVPs' lengths
-// (5014). On a fault `out.header` and the AVPs read until then are still set, so that an answer can be made.
+// Decodes one complete frame. Checks the version (5011), the length (5015), the command flags (3008) and the
+// lengths of the AVPs (5014). On a fault, `out.header` and the AVPs decoded so far are still set, so that the
+// caller can build an answer.
 std::optional<Fault> decode(std::string_view frame, MessageView& out);
 
-// Values; nothing if the data's length is wrong for the type.
+// The value of an AVP, or nullopt if its data has the wrong length for the type.
 std::optional<std::uint32_t> as_u32(const AvpView& avp);
 std::optional<std::uint64_t> as_u64(const AvpView& avp);
 
-// Cuts a byte stream into frames. Holds at most `max_length` bytes and one read; what follows a fault is not
-// looked at, since the boundaries of messages are lost.
+// Splits a byte stream into frames. Buffers at most `max_length` bytes plus one read. After a fault all
+// further bytes are ignored, because the message boundaries are lost.
 class Framer {
  public:
   explicit Framer(std::uint32_t max_length) : max_length_(max_length) {}
 
   enum class Status { kNeedMore, kFrame, kFault };
   void feed(std::string_view bytes);
-  // The next frame, valid until the next call of `feed`. With kFault, `fault` and `header` tell why.
+  // Extracts the next frame, which is valid until the next call of `feed`. After kFault, `fault()` and
+  // `header()` describe the error.
   Status next(std::string_view& frame);
   const Fault& fault() const { return fault_; }
   const Header& header() const { return header_; }
-  std::size_t buffered() const { return buffer_.size() - at_; }
-  // What was fed and not yet handed out.
-  std::string_view unread() const { return std::string_view(buffer_).substr(at_); }
+  std::size_t buffered() const { return buffer_.size() - consumed_; }
+  // The bytes fed so far that `next` has not returned.
+  std::string_view unread() const { return std::string_view(buffer_).substr(consumed_); }
 
  private:
   std::uint32_t max_length_;
   std::string buffer_;
-  std::size_t at_ = 0;
-  bool broken_ = false;
+  std::size_t consumed_ = 0;
+  bool failed_ = false;
   Fault fault_;
   Header header_;
 };
 
-struct AvpDef;  // of dictionary.hpp
+struct AvpDef;  // defined in dictionary.hpp
 
-// Builds one message. Flags of each AVP come from the dictionary's entry.
+// Builds one message. The flags of each AVP are taken from its dictionary entry.
 class Builder {
  public:
   explicit Builder(const Header& header);
   Builder& u32(const AvpDef& def, std::uint32_t value);
   Builder& u64(const AvpDef& def, std::uint64_t value);
   Builder& text(const AvpDef& def, std::string_view value);
-  // IPv4, RFC 6733 section 4.3.1 (address family 1).
+  // Appends an IPv4 address (RFC 6733 section 4.3.1, address family 1).
   Builder& ipv4(const AvpDef& def, std::uint32_t host_order);
-  // An AVP as it was read, untouched (Proxy-Info, say), or one that is encoded already.
+  // Appends an AVP that is already encoded, such as a Proxy-Info copied unchanged from a request.
   Builder& raw(std::string_view whole);
   Builder& begin_group(const AvpDef& def);
   Builder& end_group();
-  // The finished message; the builder is empty afterwards.
+  // Closes any open groups and returns the message. The builder is empty afterwards.
   std::string finish();
 
  private:
-  void head(const AvpDef& def, std::size_t data_length);
-  void pad();
+  void append_avp_header(const AvpDef& def, std::size_t data_length);
+  void append_padding();
   std::string out_;
-  std::vector<std::size_t> open_;  // where the groups that are open begin
+  std::vector<std::size_t> open_groups_;  // start offsets of the open groups
 };
 
 }  // namespace mintrock::diameter
--- a/src/diameter/dictionary.cpp
+++ b/src/diameter/dictionary.cpp
@@ -8,96 +8,96 @@
 namespace mintrock::diameter {
 namespace {
 
-constexpr AvpDef kAll[] = {avp::kCalledStationId,
-                           avp::kHostIpAddress,
-                           avp::kAuthApplicationId,
-                           avp::kAcctApplicationId,
-                           avp::kVendorSpecificApplicationId,
-                           avp::kSessionId,
-                           avp::kOriginHost,
-                           avp::kSupportedVendorId,
-                           avp::kVendorId,
-                           avp::kFirmwareRevision,
-                           avp::kResultCode,
-                           avp::kProductName,
-                           avp::kDisconnectCause,
-                           avp::kOriginStateId,
-                           avp::kFailedAvp,
-                           avp::kProxyHost,
-                           avp::kErrorMessage,
-                           avp::kRouteRecord,
-                           avp::kDestinationRealm,
-                           avp::kProxyInfo,
-                           avp::kDestinationHost,
-                           avp::kErrorReportingHost,
-                           avp::kTerminationCause,
-                           avp::kOriginRealm,
-                           avp::kInbandSecurityId,
-                           avp::kProxyState,
-                           avp::kCcRequestNumber,
-                           avp::kCcRequestType,
-                           avp::kServiceIdentifier,
-                           avp::kServiceContextId,
-                           avp::kUserName,
-                           avp::kClass,
-                           avp::kCallingStationId,
-                           avp::kEventTimestamp,
-                           avp::kMultiSessionId,
-                           avp::kCorrelationId,
-                           avp::kInputOctets,
-                           avp::kMoney,
-                           avp::kOutputOctets,
-                           avp::kSessionFailover,
-                           avp::kSubSessionId,
-                           avp::kCcTime,
-                           avp::kTotalOctets,
-                           avp::kCheckBalance,
-                           avp::kCostInformation,
-                           avp::kFailureHandling,
-                           avp::kDirectDebiting,
-                           avp::kFinalUnit,
-                           avp::kGrantedUnit,
-                           avp::kRatingGroup,
-                           avp::kRequestedAction,
-                           avp::kRequestedUnit,
-                           avp::kParameterInfo,
-                           avp::kSubscriptionId,
-                           avp::kUsedUnit,
-                           avp::kValidityTime,
-                           avp::kMultipleIndicator,
-                           avp::kMultipleServices,
-                           avp::kUserEquipment,
-                           avp::kSourceId,
-                           avp::kLoad,
-                           avp::kLoadType,
-                           avp::kLoadValue,
-                           avp::kMaximumWaitTime,
-                           avp::kServerLoad,
-                           avp::kProcessorWait,
-                           avp::kQueueLength,
-                           avp::kSpareLines,
-                           avp::kTotalLines,
-                           avp::kRetryAfter,
-                           avp::kRedialIndicator,
-                           avp::kLinesRequired,
-                           avp::kRefusalCause};
+constexpr AvpDef kAllAvps[] = {avp::kCalledStationId,
+                               avp::kHostIpAddress,
+                               avp::kAuthApplicationId,
+                               avp::kAcctApplicationId,
+                               avp::kVendorSpecificApplicationId,
+                               avp::kSessionId,
+                               avp::kOriginHost,
+                               avp::kSupportedVendorId,
+                               avp::kVendorId,
+                               avp::kFirmwareRevision,
+                               avp::kResultCode,
+                               avp::kProductName,
+                               avp::kDisconnectCause,
+                               avp::kOriginStateId,
+                               avp::kFailedAvp,
+                               avp::kProxyHost,
+                               avp::kErrorMessage,
+                               avp::kRouteRecord,
+                               avp::kDestinationRealm,
+                               avp::kProxyInfo,
+                               avp::kDestinationHost,
+                               avp::kErrorReportingHost,
+                               avp::kTerminationCause,
+                               avp::kOriginRealm,
+                               avp::kInbandSecurityId,
+                               avp::kProxyState,
+                               avp::kCcRequestNumber,
+                               avp::kCcRequestType,
+                               avp::kServiceIdentifier,
+                               avp::kServiceContextId,
+                               avp::kUserName,
+                               avp::kClass,
+                               avp::kCallingStationId,
+                               avp::kEventTimestamp,
+                               avp::kMultiSessionId,
+                               avp::kCorrelationId,
+                               avp::kInputOctets,
+                               avp::kMoney,
+                               avp::kOutputOctets,
+                               avp::kSessionFailover,
+                               avp::kSubSessionId,
+                               avp::kCcTime,
+                               avp::kTotalOctets,
+                               avp::kCheckBalance,
+                               avp::kCostInformation,
+                               avp::kFailureHandling,
+                               avp::kDirectDebiting,
+                               avp::kFinalUnit,
+                               avp::kGrantedUnit,
+                               avp::kRatingGroup,
+                               avp::kRequestedAction,
+                               avp::kRequestedUnit,
+                               avp::kParameterInfo,
+                               avp::kSubscriptionId,
+                               avp::kUsedUnit,
+                               avp::kValidityTime,
+                               avp::kMultipleIndicator,
+                               avp::kMultipleServices,
+                               avp::kUserEquipment,
+                               avp::kSourceId,
+                               avp::kLoad,
+                               avp::kLoadType,
+                               avp::kLoadValue,
+                               avp::kMaximumWaitTime,
+                               avp::kServerLoad,
+                               avp::kProcessorWait,
+                               avp::kQueueLength,
+                               avp::kSpareLines,
+                               avp::kTotalLines,
+                               avp::kRetryAfter,
+                               avp::kRedialIndicator,
+                               avp::kLinesRequired,
+                               avp::kRefusalCause};
 
-// How often an AVP may stand in a command. AVPs that a grammar doesn't name may stand in it by its *[ AVP ],
-// but those that are answers' own may not stand in requests.
-struct Occurs {
+// How often an AVP may occur in a command. AVPs that a grammar doesn't name are allowed by its *[ AVP ], but
+// Result-Code and Failed-AVP are not allowed in requests.
+struct OccurrenceRule {
   const AvpDef* def;
-  std::uint32_t least;
-  std::uint32_t most;  // 0: any number
+  std::uint32_t min_count;
+  std::uint32_t max_count;  // 0: unlimited
 };
 
 struct Grammar {
   std::uint32_t command;
   bool request;
-  std::vector<Occurs> avps;
+  std::vector<OccurrenceRule> avps;
 };
 
 const std::vector<Grammar>& grammars() {
-  using namespace avp;  // NOLINT: the table reads better so
+  using namespace avp;  // NOLINT: keeps the table readable
   static const std::vector<Grammar> kGrammars = {
       // RFC 6733 sections 5.3.1 and 5.3.2
       {kCapabilitiesExchange,
@@ -167,13 +167,13 @@
   return kGrammars;
 }
 
-constexpr int kDeepest = 4;
-constexpr std::uint32_t kTableSize = 1024;  // every code of base and own AVPs is below
+constexpr int kMaxGroupDepth = 4;
+constexpr std::uint32_t kLookupTableSize = 1024;  // above every code of the base and mintrock AVPs
 
-std::optional<Fault> fault(std::uint32_t code, const AvpView& avp, const std::string& what) {
+std::optional<Fault> avp_fault(std::uint32_t code, const AvpView& avp, const std::string& description) {
   const AvpDef* def = find_avp(avp.code, avp.vendor);
   const std::string name = def != nullptr ? def->name : "AVP " + std::to_string(avp.code);
-  return Fault{code, std::string(avp.encoded), name + ": " + what};
+  return Fault{code, std::string(avp.encoded), name + ": " + description};
 }
 
 std::optional<Fault> check_value(const AvpDef& def, const AvpView& avp, int depth);
@@ -182,11 +182,11 @@
   constexpr std::uint8_t kReserved = 0x1F;
   const AvpDef* def = find_avp(avp.code, avp.vendor);
   if (def == nullptr) {
-    if ((avp.flags & kMandatoryBit) != 0) return fault(kAvpUnsupported, avp, "not known, and mandatory");
+    if ((avp.flags & kMandatoryBit) != 0) return avp_fault(kAvpUnsupported, avp, "not known, and mandatory");
     return std::nullopt;
   }
-  // Section 4.1: a bit that is not recognized is an error.
-  if ((avp.flags & kReserved) != 0) return fault(kInvalidAvpBits, avp, "reserved flags are set");
+  // Section 4.1: unrecognized flag bits are an error.
+  if ((avp.flags & kReserved) != 0) return avp_fault(kInvalidAvpBits, avp, "reserved flags are set");
   return check_value(*def, avp, depth);
 }
 
@@ -198,40 +198,41 @@
     case AvpType::kText:
       return std::nullopt;
     case AvpType::kIdentity:
-      if (size == 0) return fault(kInvalidAvpLength, avp, "an empty identity");
-      if (size > 255) return fault(kInvalidAvpValue, avp, "an identity of over 255 bytes");
+      if (size == 0) return avp_fault(kInvalidAvpLength, avp, "an empty identity");
+      if (size > 255) return avp_fault(kInvalidAvpValue, avp, "an identity of over 255 bytes");
       for (const char c : avp.data) {
-        if (c <= ' ' || c > '~') return fault(kInvalidAvpValue, avp, "no character of a host name");
+        if (c <= ' ' || c > '~') return avp_fault(kInvalidAvpValue, avp, "no character of a host name");
       }
       return std::nullopt;
     case AvpType::kUnsigned32:
     case AvpType::kEnumerated: {
       const auto value = as_u32(avp);
-      if (!value) return fault(kInvalidAvpLength, avp, "not 4 bytes");
+      if (!value) return avp_fault(kInvalidAvpLength, avp, "not 4 bytes");
       if (*value < def.min_value || *value > def.max_value) {
-        return fault(kInvalidAvpValue, avp, "value " + std::to_string(*value));
+        return avp_fault(kInvalidAvpValue, avp, "value " + std::to_string(*value));
       }
       return std::nullopt;
     }
     case AvpType::kUnsigned64:
-      if (size != 8) return fault(kInvalidAvpLength, avp, "not 8 bytes");
+      if (size != 8) return avp_fault(kInvalidAvpLength, avp, "not 8 bytes");
       return std::nullopt;
     case AvpType::kAddress: {
-      if (size < 3) return fault(kInvalidAvpLength, avp, "an address too short");
+      if (size < 3) return avp_fault(kInvalidAvpLength, avp, "an address too short");
       const int family =
           static_cast<unsigned char>(avp.data[0]) << 8 | static_cast<unsigned char>(avp.data[1]);
       if ((family == 1 && size != 6) || (family == 2 && size != 18)) {
-        return fault(kInvalidAvpLength, avp, "an address of a wrong length");
+        return avp_fault(kInvalidAvpLength, avp, "an address of a wrong length");
       }
       return std::nullopt;
     }
     case AvpType::kGrouped: {
-      if (def.code == avp::kFailedAvp.code && def.vendor == 0) return std::nullopt;  // holds what is wrong
-      if (depth >= kDeepest) return fault(kInvalidAvpValue, avp, "groups too deep");
+      if (def.code == avp::kFailedAvp.code && def.vendor == 0)
+        return std::nullopt;  // may contain malformed AVPs
+      if (depth >= kMaxGroupDepth) return avp_fault(kInvalidAvpValue, avp, "groups too deep");
       std::vector<AvpView> inner;
-      if (split_avps(avp.data, inner)) return fault(kInvalidAvpLength, avp, "a broken group");
+      if (split_avps(avp.data, inner)) return avp_fault(kInvalidAvpLength, avp, "a broken group");
       for (const AvpView& each : inner) {
-        if (auto wrong = check_avp(each, depth + 1)) return wrong;
+        if (auto error = check_avp(each, depth + 1)) return error;
       }
       return std::nullopt;
     }
@@ -239,8 +240,9 @@
   return std::nullopt;
 }
 
-// An example of an AVP that is missing: RFC 6733 section 7.5 wants it with a minimal value.
-std::string example(const AvpDef& def) {
+// Returns an encoded AVP with a minimal value. RFC 6733 section 7.5 requires one in Failed-AVP for each
+// missing AVP.
+std::string minimal_avp(const AvpDef& def) {
   Header none;
   Builder builder(none);
   switch (def.type) {
@@ -263,20 +265,20 @@
 }  // namespace
 
 const AvpDef* find_avp(std::uint32_t code, std::uint32_t vendor) {
-  // By code, for base and own AVPs: a look-up is on the path of every AVP.
+  // Tables indexed by code for the base and mintrock AVPs: every AVP of every message is looked up.
   static const auto kTables = [] {
-    std::array<std::array<const AvpDef*, kTableSize>, 2> tables{};
-    for (const AvpDef& def : kAll) {
-      if (def.code < kTableSize && (def.vendor == 0 || def.vendor == kVendorMintrock)) {
+    std::array<std::array<const AvpDef*, kLookupTableSize>, 2> tables{};
+    for (const AvpDef& def : kAllAvps) {
+      if (def.code < kLookupTableSize && (def.vendor == 0 || def.vendor == kVendorMintrock)) {
         tables[def.vendor == 0 ? 0 : 1][def.code] = &def;
       }
     }
     return tables;
   }();
   if (vendor == 0 || vendor == kVendorMintrock)
-    return code < kTableSize ? kTables[vendor == 0 ? 0 : 1][code] : nullptr;
-  const AvpDef& wait = avp::kMaximumWaitTime;
-  return code == wait.code && vendor == wait.vendor ? &wait : nullptr;
+    return code < kLookupTableSize ? kTables[vendor == 0 ? 0 : 1][code] : nullptr;
+  const AvpDef& max_wait = avp::kMaximumWaitTime;
+  return code == max_wait.code && vendor == max_wait.vendor ? &max_wait : nullptr;
 }
 
 bool is_well_formed(const AvpView& avp) { return !check_avp(avp, 0); }
@@ -293,30 +295,32 @@
   }
   if (grammar == nullptr) return std::nullopt;
   for (const AvpView& avp : message.avps) {
-    if (auto wrong = check_avp(avp, 0)) return wrong;
-    const bool answers_own =
+    if (auto error = check_avp(avp, 0)) return error;
+    const bool answer_only =
         avp.vendor == 0 && (avp.code == avp::kResultCode.code || avp.code == avp::kFailedAvp.code);
-    if (answers_own && message.header.request()) return fault(kAvpNotAllowed, avp, "not in a request");
+    if (answer_only && message.header.request()) return avp_fault(kAvpNotAllowed, avp, "not in a request");
   }
-  // Answers that report an error have a grammar of their own (RFC 6733 section 7.2), and may lack what the
-  // request lacked: only these three are sure.
+  // Answers that report an error have their own grammar (RFC 6733 section 7.2) and may lack the AVPs that the
+  // request lacked. Only Result-Code, Origin-Host and Origin-Realm are always required.
   const AvpView* result = message.find(avp::kResultCode.code);
   const bool failed = (message.header.flags & kErrorBit) != 0 ||
                       (result != nullptr && as_u32(*result).value_or(0) / 1000 != 2);
-  for (const Occurs& rule : grammar->avps) {
-    std::uint32_t seen = 0;
+  for (const OccurrenceRule& rule : grammar->avps) {
+    std::uint32_t count = 0;
     const AvpView* last = nullptr;
     for (const AvpView& avp : message.avps) {
       if (avp.code != rule.def->code || avp.vendor != rule.def->vendor) continue;
-      seen += 1;
+      count += 1;
       last = &avp;
     }
-    const bool sure = rule.def->code == avp::kResultCode.code || rule.def->code == avp::kOriginHost.code ||
-                      rule.def->code == avp::kOriginRealm.code;
-    if (seen < rule.least && (!failed || sure)) {
-      return Fault{kMissingAvp, example(*rule.def), std::string(rule.def->name) + ": missing"};
+    const bool always_required = rule.def->code == avp::kResultCode.code ||
+                                 rule.def->code == avp::kOriginHost.code ||
+                                 rule.def->code == avp::kOriginRealm.code;
+    if (count < rule.min_count && (!failed || always_required)) {
+      return Fault{kMissingAvp, minimal_avp(*rule.def), std::string(rule.def->name) + ": missing"};
     }
-    if (rule.most != 0 && seen > rule.most) return fault(kAvpOccursTooManyTimes, *last, "too many");
+    if (rule.max_count != 0 && count > rule.max_count)
+      return avp_fault(kAvpOccursTooManyTimes, *last, "too many");
   }
   return std::nullopt;
 }
--- a/src/diameter/dictionary.hpp
+++ b/src/diameter/dictionary.hpp
@@ -1,8 +1,8 @@
-// The commands, AVPs and result codes that mintrock speaks, and the check of a message against them.
+// The commands, AVPs and result codes that mintrock supports, and the validation of messages against them.
 //
 // Sources: RFC 6733 (base), RFC 8506 (Credit-Control, application 4), RFC 8583 (Load), RFC 7155 section 4.2.5
-// (Called-Station-Id), 3GPP TS 29.273 (Maximum-Wait-Time). What no document has stands under enterprise
-// number 32473, which RFC 5612 reserves for documentation.
+// (Called-Station-Id), 3GPP TS 29.273 (Maximum-Wait-Time). AVPs defined by mintrock itself use
+// enterprise number 32473, which RFC 5612 reserves for documentation.
 #ifndef MINTROCK_SRC_DIAMETER_DICTIONARY_HPP_
 #define MINTROCK_SRC_DIAMETER_DICTIONARY_HPP_
 
@@ -19,9 +19,9 @@
   std::uint32_t code;
   std::uint32_t vendor;
   AvpType type;
-  bool mandatory;  // the M bit, as this program sends it
+  bool mandatory;  // the M bit in AVPs that mintrock sends
   const char* name;
-  std::uint32_t min_value = 0;  // of integers: the least and greatest value allowed
+  std::uint32_t min_value = 0;  // for integers: the smallest and greatest allowed values
   std::uint32_t max_value = 0xFFFFFFFFu;
 };
 
@@ -64,8 +64,9 @@
 inline constexpr AvpDef kCcRequestType{416, 0, T::kEnumerated, true, "CC-Request-Type", 1, 4};
 inline constexpr AvpDef kServiceIdentifier{439, 0, T::kUnsigned32, true, "Service-Identifier"};
 inline constexpr AvpDef kServiceContextId{461, 0, T::kText, true, "Service-Context-Id"};
-// Passed on as they come; known so that their M bit is no fault. RFC 6733 section 4.5, RFC 7155 section 4,
-// RFC 8506 section 8. What stands inside groups is not looked into: kOctets.
+// Forwarded unchanged. They are listed so that their M bit does not cause an error. RFC 6733 section 4.5,
+// RFC 7155 section 4, RFC 8506 section 8. Groups have the type kOctets because their contents are not
+// checked.
 inline constexpr AvpDef kUserName{1, 0, T::kText, true, "User-Name"};
 inline constexpr AvpDef kClass{25, 0, T::kOctets, true, "Class"};
 inline constexpr AvpDef kCallingStationId{31, 0, T::kText, true, "Calling-Station-Id"};
@@ -102,7 +103,7 @@
 inline constexpr AvpDef kLoadValue{652, 0, T::kUnsigned64, false, "Load-Value"};
 // 3GPP TS 29.273 section 9.2.3.5.3: milliseconds that the requester waits for the answer
 inline constexpr AvpDef kMaximumWaitTime{1537, kVendor3gpp, T::kUnsigned32, false, "Maximum-Wait-Time"};
-// Own; docs/diameter.md
+// Defined by mintrock; see docs/diameter.md
 inline constexpr AvpDef kServerLoad{1, kVendorMintrock, T::kGrouped, false, "Server-Load"};
 inline constexpr AvpDef kProcessorWait{2, kVendorMintrock, T::kUnsigned32, false, "Processor-Wait"};  // ms
 inline constexpr AvpDef kQueueLength{3, kVendorMintrock, T::kUnsigned32, false, "Queue-Length"};
@@ -160,18 +161,18 @@
 // CC-Request-Type, RFC 8506 section 8.3.
 enum CcRequestType : std::uint32_t { kInitial = 1, kUpdate = 2, kTermination = 3, kEvent = 4 };
 
-// The entry of an AVP, or null if this program doesn't know it.
+// Returns the dictionary entry of an AVP, or null if it is unknown.
 const AvpDef* find_avp(std::uint32_t code, std::uint32_t vendor);
 
-// Whether one AVP by itself passes `check`.
+// Whether a single AVP is valid: its flags, length and value.
 bool is_well_formed(const AvpView& avp);
 
 bool is_known_command(std::uint32_t command);
 
-// Checks a decoded message against the dictionary and its command's grammar: unknown AVPs with the M bit
-// (5001), flags (3009), lengths for the type (5014), values (5004), AVPs missing (5005), too many (5009) or
-// not allowed (5008). Groups are checked inside, 4 levels deep at most. Commands that are not known are not
-// checked.
+// Validates a decoded message against the dictionary and the grammar of its command: unknown AVPs with the M
+// bit (5001), flags (3009), lengths for the type (5014), values (5004), AVPs that are missing (5005), occur
+// too often (5009) or are not allowed (5008). Grouped AVPs are validated recursively, at most 4 levels deep.
+// Unknown commands are not validated.
 std::optional<Fault> validate(const MessageView& message);
 
 }  // namespace mintrock::diameter
--- a/src/diameter/peer.cpp
+++ b/src/diameter/peer.cpp
@@ -43,7 +43,7 @@
 
 void copy_proxy_info(const MessageView& request, Builder& answer) {
   for (const AvpView& each : request.avps) {
-    // A broken one is no one's state; sent back, it would break the answer too.
+    // A malformed Proxy-Info AVP is skipped: it would make the answer malformed as well.
     if (each.code == avp::kProxyInfo.code && each.vendor == 0 && is_well_formed(each))
       answer.raw(each.encoded);
   }
@@ -56,11 +56,11 @@
     answer.text(avp::kSessionId, session->data);
   answer.u32(avp::kResultCode, result_code);
   add_origin(answer, local);
-  if (request.header.command == kCreditControl) {  // its answer's grammar wants these back (RFC 8506, 3.2)
+  if (request.header.command == kCreditControl) {  // required in the answer (RFC 8506, 3.2)
     answer.u32(avp::kAuthApplicationId, kApplicationCreditControl);
     for (const AvpDef* def : {&avp::kCcRequestType, &avp::kCcRequestNumber}) {
-      const AvpView* given = request.find(def->code);
-      if (given != nullptr && is_well_formed(*given)) answer.raw(given->encoded);
+      const AvpView* request_avp = request.find(def->code);
+      if (request_avp != nullptr && is_well_formed(*request_avp)) answer.raw(request_avp->encoded);
     }
   }
   if (!text.empty()) answer.text(avp::kErrorMessage, text);
@@ -70,42 +70,42 @@
 }
 
 bool has_common_application(const MessageView& message) {
-  const auto fits = [](const AvpView& each) {
-    const bool names = each.vendor == 0 && (each.code == avp::kAuthApplicationId.code ||
-                                            each.code == avp::kAcctApplicationId.code);
-    const auto value = names ? as_u32(each) : std::nullopt;
+  const auto is_common = [](const AvpView& each) {
+    const bool is_application_id = each.vendor == 0 && (each.code == avp::kAuthApplicationId.code ||
+                                                        each.code == avp::kAcctApplicationId.code);
+    const auto value = is_application_id ? as_u32(each) : std::nullopt;
     return value && (*value == kApplicationCreditControl || *value == kApplicationRelay);
   };
   for (const AvpView& each : message.avps) {
-    if (fits(each)) return true;
+    if (is_common(each)) return true;
     if (each.code != avp::kVendorSpecificApplicationId.code || each.vendor != 0) continue;
     std::vector<AvpView> inner;
     if (split_avps(each.data, inner)) continue;
-    if (std::any_of(inner.begin(), inner.end(), fits)) return true;
+    if (std::any_of(inner.begin(), inner.end(), is_common)) return true;
   }
   return false;
 }
 
-Peer::Peer(const LocalNode& local, PeerSettings settings, std::uint64_t seed, PeerDelegate& sink)
+Peer::Peer(const LocalNode& local, PeerSettings settings, std::uint64_t seed, PeerDelegate& delegate)
     : local_(local),
       settings_(std::move(settings)),
-      sink_(sink),
+      delegate_(delegate),
       reconnect_at_(kNever),
-      random_(seed),
+      rng_(seed),
       watchdog_(settings_.watchdog_interval_s, seed ^ 0x9E3779B97F4A7C15u) {
-  timeout_ = kNever;
-  // Section 3: hop-by-hop ids start anywhere; end-to-end ids carry the time in their upper 12 bits, here the
-  // origin state, which is the time of start.
-  hop_by_hop_ = static_cast<std::uint32_t>(random_());
-  end_to_end_ = local.origin_state_id << 20 | (static_cast<std::uint32_t>(random_()) & 0xFFFFF);
+  state_deadline_ = kNever;
+  // Section 3: hop-by-hop ids start at any value; the upper 12 bits of end-to-end ids hold the time. Here
+  // they hold the lower bits of Origin-State-Id, which is the start time.
+  hop_by_hop_ = static_cast<std::uint32_t>(rng_());
+  end_to_end_ = local.origin_state_id << 20 | (static_cast<std::uint32_t>(rng_()) & 0xFFFFF);
 }
 
 void Peer::enter(State state, double now) {
   state_ = state;
-  const bool waits = state == State::kWaitConnAck || state == State::kWaitICea ||
-                     state == State::kWaitConnAckElect || state == State::kWaitReturns ||
-                     state == State::kClosing;
-  timeout_ = waits ? now + settings_.answer_timeout_s : kNever;
+  const bool has_timeout = state == State::kWaitConnAck || state == State::kWaitICea ||
+                           state == State::kWaitConnAckElect || state == State::kWaitReturns ||
+                           state == State::kClosing;
+  state_deadline_ = has_timeout ? now + settings_.answer_timeout_s : kNever;
 }
 
 void Peer::start(double now) {
@@ -113,7 +113,7 @@
   if (state_ != State::kClosed || !settings_.initiates) return;
   reconnect_at_ = kNever;
   enter(State::kWaitConnAck, now);
-  sink_.connect();
+  delegate_.connect();
 }
 
 void Peer::on_connected(double now) {
@@ -125,29 +125,29 @@
   } else if (state_ == State::kWaitConnAckElect) {
     send_cer();
     if (win_election()) {
-      close_link(Connection::kInitiated);
-      sink_.send(Connection::kAccepted, std::exchange(held_cea_, {}));
-      open_on(Connection::kAccepted, now);
+      close_connection(Connection::kInitiated);
+      delegate_.send(Connection::kAccepted, std::exchange(deferred_cea_, {}));
+      enter_open(Connection::kAccepted, now);
     } else {
       enter(State::kWaitReturns, now);
     }
   } else {
-    close_link(Connection::kInitiated);  // no longer wanted
+    close_connection(Connection::kInitiated);  // the state changed in the meantime
   }
 }
 
 void Peer::on_connect_failed(double now) {
   if (state_ == State::kWaitConnAckElect) {
-    sink_.send(Connection::kAccepted, std::exchange(held_cea_, {}));
-    open_on(Connection::kAccepted, now);
+    delegate_.send(Connection::kAccepted, std::exchange(deferred_cea_, {}));
+    enter_open(Connection::kAccepted, now);
   } else if (state_ == State::kWaitConnAck) {
-    fall("connection refused", now);
+    enter_closed("connection refused", now);
   }
 }
 
-void Peer::note_origin_state(const MessageView& message) {
+void Peer::record_origin_state(const MessageView& message) {
   const AvpView* state = message.find(avp::kOriginStateId.code);
-  if (state != nullptr) peer_origin_state_ = as_u32(*state).value_or(peer_origin_state_);
+  if (state != nullptr) peer_origin_state_id_ = as_u32(*state).value_or(peer_origin_state_id_);
 }
 
 bool Peer::accept(const MessageView& cer, double now, std::string& reply) {
@@ -162,95 +162,95 @@
   }
   switch (state_) {
     case State::kClosed:
-      note_origin_state(cer);
+      record_origin_state(cer);
       accepted_ = true;
       framers_[1] = std::make_unique<Framer>(settings_.max_message_length);
-      sink_.send(Connection::kAccepted, make_cea(cer));
-      open_on(Connection::kAccepted, now);
+      delegate_.send(Connection::kAccepted, make_cea(cer));
+      enter_open(Connection::kAccepted, now);
       return true;
     case State::kWaitConnAck:
-      note_origin_state(cer);
+      record_origin_state(cer);
       accepted_ = true;
       framers_[1] = std::make_unique<Framer>(settings_.max_message_length);
-      held_cea_ = make_cea(cer);
+      deferred_cea_ = make_cea(cer);
       enter(State::kWaitConnAckElect, now);
       return true;
     case State::kWaitICea:
-      note_origin_state(cer);
+      record_origin_state(cer);
       accepted_ = true;
       framers_[1] = std::make_unique<Framer>(settings_.max_message_length);
       if (win_election()) {
-        close_link(Connection::kInitiated);
-        sink_.send(Connection::kAccepted, make_cea(cer));
-        open_on(Connection::kAccepted, now);
+        close_connection(Connection::kInitiated);
+        delegate_.send(Connection::kAccepted, make_cea(cer));
+        enter_open(Connection::kAccepted, now);
       } else {
-        held_cea_ = make_cea(cer);
+        deferred_cea_ = make_cea(cer);
         enter(State::kWaitReturns, now);
       }
       return true;
-    default:  // R-Reject: the connection is just disconnected
+    default:  // R-Reject: the connection is closed without an answer
       return false;
   }
 }
 
-void Peer::open_on(Connection link, double now) {
-  link_ = link;
-  agreed_ = false;
-  peer_cause_.reset();
+void Peer::enter_open(Connection connection, double now) {
+  open_connection_ = connection;
+  disconnect_agreed_ = false;
+  peer_disconnect_cause_.reset();
   suspect_ = false;
-  enter(link == Connection::kInitiated ? State::kIOpen : State::kROpen, now);
-  sink_.on_up();
+  enter(connection == Connection::kInitiated ? State::kIOpen : State::kROpen, now);
+  delegate_.on_up();
   if (settings_.watchdog_enabled) {
     const Watchdog::Actions actions = watchdog_.on_connection_up(now);
     if (watchdog_.state() == Watchdog::State::kReopen) {
       suspect_ = true;
-      sink_.on_suspect_change(true);
+      delegate_.on_suspect_change(true);
     }
-    apply(actions, now);
+    apply_watchdog_actions(actions, now);
   }
 }
 
-void Peer::close_link(Connection link) {
-  bool& alive = link == Connection::kInitiated ? initiated_ : accepted_;
-  if (!alive) return;
-  alive = false;
-  sink_.close(link);
+void Peer::close_connection(Connection connection) {
+  bool& connected = connection == Connection::kInitiated ? initiated_ : accepted_;
+  if (!connected) return;
+  connected = false;
+  delegate_.close(connection);
 }
 
-void Peer::fall(const std::string& why, double now) {
+void Peer::enter_closed(const std::string& reason, double now) {
   const bool was_open = is_open() || state_ == State::kClosing;
-  close_link(Connection::kInitiated);
-  close_link(Connection::kAccepted);
-  held_cea_.clear();
+  close_connection(Connection::kInitiated);
+  close_connection(Connection::kAccepted);
+  deferred_cea_.clear();
   enter(State::kClosed, now);
   if (settings_.watchdog_enabled) {
-    if (agreed_) {
+    if (disconnect_agreed_) {
       watchdog_.reset(now);
     } else {
       watchdog_.on_connection_down(now);
     }
   }
-  // Tc with a little jitter, so that all who lost a server do not come back in one instant.
+  // Tc with 10% jitter, so that the nodes that lost a server don't all reconnect at the same moment.
   std::uniform_real_distribution<double> jitter(0.9, 1.1);
   reconnect_at_ =
-      settings_.initiates && !stopped_ ? now + settings_.reconnect_interval_s * jitter(random_) : kNever;
-  if (was_open) sink_.on_down(why);
+      settings_.initiates && !stopped_ ? now + settings_.reconnect_interval_s * jitter(rng_) : kNever;
+  if (was_open) delegate_.on_down(reason);
 }
 
-void Peer::on_closed(Connection link, double now, const std::string& why) {
-  if (!live(link)) return;
-  (link == Connection::kInitiated ? initiated_ : accepted_) = false;
+void Peer::on_closed(Connection connection, double now, const std::string& reason) {
+  if (!is_connected(connection)) return;
+  (connection == Connection::kInitiated ? initiated_ : accepted_) = false;
   switch (state_) {
     case State::kWaitICea:
-      if (link == Connection::kInitiated) fall("closed before the CEA", now);
+      if (connection == Connection::kInitiated) enter_closed("closed before the CEA", now);
       return;
     case State::kWaitConnAckElect:
-      if (link == Connection::kAccepted) enter(State::kWaitConnAck, now);
+      if (connection == Connection::kAccepted) enter(State::kWaitConnAck, now);
       return;
     case State::kWaitReturns:
-      if (link == Connection::kInitiated) {
-        sink_.send(Connection::kAccepted, std::exchange(held_cea_, {}));
-        open_on(Connection::kAccepted, now);
+      if (connection == Connection::kInitiated) {
+        delegate_.send(Connection::kAccepted, std::exchange(deferred_cea_, {}));
+        enter_open(Connection::kAccepted, now);
       } else {
         enter(State::kWaitICea, now);
       }
@@ -258,7 +258,8 @@
     case State::kROpen:
     case State::kIOpen:
     case State::kClosing:
-      if (link == link_) fall(state_ == State::kClosing ? "disconnected" : why, now);
+      if (connection == open_connection_)
+        enter_closed(state_ == State::kClosing ? "disconnected" : reason, now);
       return;
     default:
       return;
@@ -269,66 +270,66 @@
   stopped_ = true;
   reconnect_at_ = kNever;
   if (!is_open()) {
-    if (state_ != State::kClosed && state_ != State::kClosing) fall("stopped", now);
+    if (state_ != State::kClosed && state_ != State::kClosing) enter_closed("stopped", now);
     return;
   }
-  own_request_ = next_hop_by_hop();
-  Builder dpr(request_header(kDisconnectPeer, own_request_, next_end_to_end()));
+  pending_request_id_ = next_hop_by_hop();
+  Builder dpr(request_header(kDisconnectPeer, pending_request_id_, next_end_to_end()));
   add_origin(dpr, local_);
   dpr.u32(avp::kDisconnectCause, static_cast<std::uint32_t>(cause));
-  sink_.send(link_, dpr.finish());
-  agreed_ = true;
+  delegate_.send(open_connection_, dpr.finish());
+  disconnect_agreed_ = true;
   enter(State::kClosing, now);
 }
 
 double Peer::deadline() const {
-  double due = std::min(timeout_, reconnect_at_);
-  if (settings_.watchdog_enabled && is_open()) due = std::min(due, watchdog_.deadline());
-  return due;
+  double deadline = std::min(state_deadline_, reconnect_at_);
+  if (settings_.watchdog_enabled && is_open()) deadline = std::min(deadline, watchdog_.deadline());
+  return deadline;
 }
 
 void Peer::tick(double now) {
-  if (now >= timeout_) {
-    fall(std::string("no answer in state ") + name(state_), now);
+  if (now >= state_deadline_) {
+    enter_closed(std::string("no answer in state ") + name(state_), now);
   }
   if (now >= reconnect_at_) start(now);
   if (settings_.watchdog_enabled && is_open() && now >= watchdog_.deadline())
-    apply(watchdog_.on_timer(now), now);
+    apply_watchdog_actions(watchdog_.on_timer(now), now);
 }
 
-void Peer::apply(const Watchdog::Actions& actions, double now) {
+void Peer::apply_watchdog_actions(const Watchdog::Actions& actions, double now) {
   if (actions.failover && !suspect_) {
     suspect_ = true;
-    sink_.on_suspect_change(true);
+    delegate_.on_suspect_change(true);
   }
   if (actions.failback && suspect_) {
     suspect_ = false;
-    sink_.on_suspect_change(false);
+    delegate_.on_suspect_change(false);
   }
   if (actions.send_watchdog) send_dwr();
-  if (actions.close_connection) fall("watchdog unanswered", now);
+  if (actions.close_connection) enter_closed("watchdog unanswered", now);
 }
 
 bool Peer::send(std::string bytes) {
   if (!is_open()) return false;
-  sink_.send(link_, std::move(bytes));
+  delegate_.send(open_connection_, std::move(bytes));
   return true;
 }
 
 void Peer::send_cer() {
-  own_request_ = next_hop_by_hop();
-  Builder cer(request_header(kCapabilitiesExchange, own_request_, next_end_to_end()));
+  pending_request_id_ = next_hop_by_hop();
+  Builder cer(request_header(kCapabilitiesExchange, pending_request_id_, next_end_to_end()));
   add_origin(cer, local_);
   add_capabilities(cer, local_);
-  sink_.send(Connection::kInitiated, cer.finish());
+  delegate_.send(Connection::kInitiated, cer.finish());
 }
 
 void Peer::send_dwr() {
-  own_request_ = next_hop_by_hop();
-  Builder dwr(request_header(kDeviceWatchdog, own_request_, next_end_to_end()));
+  pending_request_id_ = next_hop_by_hop();
+  Builder dwr(request_header(kDeviceWatchdog, pending_request_id_, next_end_to_end()));
   add_origin(dwr, local_);
   dwr.u32(avp::kOriginStateId, local_.origin_state_id);
-  sink_.send(link_, dwr.finish());
+  delegate_.send(open_connection_, dwr.finish());
 }
 
 std::string Peer::make_cea(const MessageView& cer) const {
@@ -339,33 +340,34 @@
   return cea.finish();
 }
 
-void Peer::on_received(Connection link, std::string_view bytes, double now) {
-  if (!live(link)) return;
-  framer(link).feed(bytes);
+void Peer::on_received(Connection connection, std::string_view bytes, double now) {
+  if (!is_connected(connection)) return;
+  framer(connection).feed(bytes);
   for (;;) {
-    // A message may have closed the link; what came behind it counts for nothing.
-    if (!live(link)) return;
+    // Handling a message may have closed the connection; the bytes that follow it are ignored.
+    if (!is_connected(connection)) return;
     std::string_view frame;
-    switch (framer(link).next(frame)) {
+    switch (framer(connection).next(frame)) {
       case Framer::Status::kNeedMore:
         return;
       case Framer::Status::kFrame:
-        handle_message(link, frame, now);
+        handle_message(connection, frame, now);
         break;
       case Framer::Status::kFault: {
-        // The boundaries of messages are lost: say why, then close (sections 7.1.5 and 5.6).
-        const Fault fault = framer(link).fault();
-        sink_.on_protocol_error(fault.text + "; connection closed");
+        // The message boundaries are lost: report the error, then close (sections 7.1.5 and 5.6).
+        const Fault fault = framer(connection).fault();
+        delegate_.on_protocol_error(fault.text + "; connection closed");
         MessageView view;
-        view.header = framer(link).header();
+        view.header = framer(connection).header();
         if (view.header.request()) {
-          sink_.send(link, error_answer(local_, view, fault.result_code, {}, fault.text));
+          delegate_.send(connection, error_answer(local_, view, fault.result_code, {}, fault.text));
         }
-        if (is_open() && link == link_) {
-          fall("malformed stream", now);
+        if (is_open() && connection == open_connection_) {
+          enter_closed("malformed stream", now);
         } else {
-          close_link(link);
-          if (state_ == State::kWaitICea || state_ == State::kWaitConnAck) fall("malformed stream", now);
+          close_connection(connection);
+          if (state_ == State::kWaitICea || state_ == State::kWaitConnAck)
+            enter_closed("malformed stream", now);
         }
         return;
       }
@@ -373,7 +375,7 @@
   }
 }
 
-void Peer::handle_message(Connection link, std::string_view frame, double now) {
+void Peer::handle_message(Connection connection, std::string_view frame, double now) {
   MessageView view;
   std::optional<Fault> fault = decode(frame, view);
   const bool request = view.header.request();
@@ -397,47 +399,48 @@
     }
   }
   bool reopening = false;
-  if (settings_.watchdog_enabled && is_open() && link == link_) {
+  if (settings_.watchdog_enabled && is_open() && connection == open_connection_) {
     const bool dwa = command == kDeviceWatchdog && !request;
     const Watchdog::Actions actions =
         dwa ? (fault ? Watchdog::Actions{} : watchdog_.on_dwa(now)) : watchdog_.on_non_dwa(now);
     reopening = actions.discard_message;
-    apply(actions, now);
+    apply_watchdog_actions(actions, now);
   }
   if (fault) {
-    sink_.on_protocol_error("command " + std::to_string(command) + ": " + fault->text);
-    // Section 6.2: answers are never answered; one that can't be read is dropped.
+    delegate_.on_protocol_error("command " + std::to_string(command) + ": " + fault->text);
+    // Section 6.2: answers are never answered; an invalid answer is dropped.
     if (request) {
-      sink_.send(link, error_answer(local_, view, fault->result_code, fault->failed_avp, fault->text));
+      delegate_.send(connection,
+                     error_answer(local_, view, fault->result_code, fault->failed_avp, fault->text));
     } else if (state_ == State::kWaitICea || state_ == State::kWaitReturns) {
-      fall("no CEA that can be read", now);
+      enter_closed("malformed CEA", now);
     }
     return;
   }
-  if (base) return handle_base(link, view, now);
-  if (!is_open() || link != link_) {
-    if (state_ == State::kClosing && link == link_) {
-      // Answers that were under way are taken; new requests are not.
-      if (!request) return sink_.on_message(view, false);
-      sink_.send(link, error_answer(local_, view, kUnableToDeliver, {}, "closing"));
+  if (base) return handle_base_message(connection, view, now);
+  if (!is_open() || connection != open_connection_) {
+    if (state_ == State::kClosing && connection == open_connection_) {
+      // Answers in flight are still accepted; new requests are not.
+      if (!request) return delegate_.on_message(view, false);
+      delegate_.send(connection, error_answer(local_, view, kUnableToDeliver, {}, "closing"));
       return;
     }
-    sink_.on_protocol_error("a message before the capabilities exchange");
-    if (state_ == State::kWaitICea) fall("no CEA first", now);
+    delegate_.on_protocol_error("message received before the capabilities exchange");
+    if (state_ == State::kWaitICea) enter_closed("message received before the CEA", now);
     return;
   }
-  sink_.on_message(view, reopening);
+  delegate_.on_message(view, reopening);
 }
 
-void Peer::handle_base(Connection link, const MessageView& view, double now) {
+void Peer::handle_base_message(Connection connection, const MessageView& view, double now) {
   const bool request = view.header.request();
   switch (view.header.command) {
     case kCapabilitiesExchange:
       if (!request) return handle_cea(view, now);
-      if (is_open() && link == link_) {
-        sink_.send(link, make_cea(view));  // an update of capabilities
+      if (is_open() && connection == open_connection_) {
+        delegate_.send(connection, make_cea(view));  // the peer updates its capabilities
       } else {
-        sink_.on_protocol_error("CER out of turn");
+        delegate_.on_protocol_error("unexpected CER");
       }
       return;
     case kDeviceWatchdog:
@@ -446,12 +449,13 @@
         dwa.u32(avp::kResultCode, kSuccess);
         add_origin(dwa, local_);
         dwa.u32(avp::kOriginStateId, local_.origin_state_id);
-        sink_.send(link, dwa.finish());
+        delegate_.send(connection, dwa.finish());
       }
       return;
     case kDisconnectPeer:
-      if (request) return process_dpr(link, view, now);
-      if (state_ == State::kClosing && view.header.hop_by_hop == own_request_) fall("disconnected", now);
+      if (request) return handle_dpr(connection, view, now);
+      if (state_ == State::kClosing && view.header.hop_by_hop == pending_request_id_)
+        enter_closed("disconnected", now);
       return;
     default:
       return;
@@ -459,44 +463,44 @@
 }
 
 void Peer::handle_cea(const MessageView& view, double now) {
-  const bool awaited = state_ == State::kWaitICea || state_ == State::kWaitReturns;
-  if (!awaited || view.header.hop_by_hop != own_request_)
-    return sink_.on_protocol_error("a CEA that nobody waits for");
+  const bool expected = state_ == State::kWaitICea || state_ == State::kWaitReturns;
+  if (!expected || view.header.hop_by_hop != pending_request_id_)
+    return delegate_.on_protocol_error("unsolicited CEA");
   const AvpView* result = view.find(avp::kResultCode.code);
   const AvpView* host = view.find(avp::kOriginHost.code);
   const std::uint32_t code = result != nullptr ? as_u32(*result).value_or(0) : 0;
   if (code / 1000 != 2) {
-    sink_.on_protocol_error("capabilities refused with " + std::to_string(code));
-    return fall("capabilities refused", now);
+    delegate_.on_protocol_error("capabilities refused with " + std::to_string(code));
+    return enter_closed("capabilities refused", now);
   }
   if (!settings_.host.empty() && (host == nullptr || host->data != settings_.host)) {
-    sink_.on_protocol_error("answers as another host than " + settings_.host);
-    return fall("another host", now);
+    delegate_.on_protocol_error("the Origin-Host of the CEA is not " + settings_.host);
+    return enter_closed("unexpected Origin-Host in the CEA", now);
   }
-  if (!has_common_application(view)) return fall("no common application", now);
-  note_origin_state(view);
+  if (!has_common_application(view)) return enter_closed("no common application", now);
+  record_origin_state(view);
   if (state_ == State::kWaitReturns) {
-    close_link(Connection::kAccepted);
-    held_cea_.clear();
+    close_connection(Connection::kAccepted);
+    deferred_cea_.clear();
   }
-  open_on(Connection::kInitiated, now);
+  enter_open(Connection::kInitiated, now);
 }
 
-void Peer::process_dpr(Connection link, const MessageView& view, double now) {
+void Peer::handle_dpr(Connection connection, const MessageView& view, double now) {
   Builder dpa(answer_header(view.header, false));
   dpa.u32(avp::kResultCode, kSuccess);
   add_origin(dpa, local_);
-  sink_.send(link, dpa.finish());
+  delegate_.send(connection, dpa.finish());
   if (!is_open() && state_ != State::kClosing) return;
   const AvpView* cause = view.find(avp::kDisconnectCause.code);
-  peer_cause_ = static_cast<DisconnectCause>(cause != nullptr ? as_u32(*cause).value_or(0) : 0);
-  agreed_ = true;
-  // Section 5.4.3: one that doesn't want to talk is not called again by itself.
-  if (*peer_cause_ == DisconnectCause::kDoNotWantToTalk) stopped_ = true;
-  // The side that sent the DPR closes; this one waits for it, but not for ever.
+  peer_disconnect_cause_ = static_cast<DisconnectCause>(cause != nullptr ? as_u32(*cause).value_or(0) : 0);
+  disconnect_agreed_ = true;
+  // Section 5.4.3: this node doesn't reconnect to a peer that sent DO_NOT_WANT_TO_TALK_TO_YOU.
+  if (*peer_disconnect_cause_ == DisconnectCause::kDoNotWantToTalk) stopped_ = true;
+  // The sender of the DPR closes the connection. This node waits for that, up to the answer timeout.
   if (is_open()) {
     enter(State::kClosing, now);
-    sink_.on_suspect_change(true);
+    delegate_.on_suspect_change(true);
     suspect_ = true;
   }
 }
--- a/src/diameter/peer.hpp
+++ b/src/diameter/peer.hpp
@@ -1,9 +1,10 @@
 // One Diameter peer: the state machine of RFC 6733 section 5.6 over up to two transport connections, the
 // capabilities exchange (5.3), disconnection (5.4) and the watchdog (5.5, RFC 3539).
 //
-// Pure: bytes and times in; bytes, requests to connect or close, and messages out, through a PeerDelegate. It
-// has no sockets and reads no clock. Messages that the base protocol answers by itself (faults, unknown
-// commands and applications, loops) never reach the owner.
+// A pure module: it does no I/O and reads no clock. The owner passes in received bytes and the current time;
+// bytes to send, requests to connect or close, and messages come out through a PeerDelegate. Messages that
+// the base protocol answers by itself (malformed messages, unknown commands and applications, loops) are not
+// passed to the delegate.
 #ifndef MINTROCK_SRC_DIAMETER_PEER_HPP_
 #define MINTROCK_SRC_DIAMETER_PEER_HPP_
 
@@ -20,49 +21,51 @@
 
 namespace mintrock::diameter {
 
-// Who this program is, toward every peer.
+// The identity that this node presents to every peer.
 struct LocalNode {
   std::string host;
   std::string realm;
   std::uint32_t address = 0x7F000001;  // IPv4, host order
   std::string product = "mintrock";
   std::uint32_t vendor = kVendorMintrock;
-  std::uint32_t origin_state_id = 0;  // grows with each start (section 8.16)
+  std::uint32_t origin_state_id = 0;  // increases with each start (section 8.16)
 };
 
 struct PeerSettings {
-  std::string host;                          // its Origin-Host
-  bool initiates = false;                    // this side opens connections
-  bool watchdog_enabled = true;              // this side sends watchdog requests; theirs are always answered
-  double watchdog_interval_s = 30;           // seconds, 6 or more
-  double reconnect_interval_s = 30;          // seconds between attempts to connect
-  double answer_timeout_s = 10;              // seconds for a connection, a CEA or a DPA
-  std::uint32_t max_message_length = 65536;  // bytes of a message
+  std::string host;        // the Origin-Host of the peer
+  bool initiates = false;  // whether this node opens connections to the peer
+  // Whether this node sends watchdog requests. Those of the peer are always answered.
+  bool watchdog_enabled = true;
+  double watchdog_interval_s = 30;           // Tw of RFC 3539: seconds, 6 or more
+  double reconnect_interval_s = 30;          // Tc of RFC 6733: seconds between connection attempts
+  double answer_timeout_s = 10;              // seconds to wait for a connection, a CEA or a DPA
+  std::uint32_t max_message_length = 65536;  // bytes
 };
 
-// Which of the two transport connections is meant: the one this side opened, or the one it accepted.
+// One of the two possible transport connections to a peer: the one this node initiated or the one it
+// accepted.
 enum class Connection { kInitiated, kAccepted };
 
 // Disconnect-Cause, RFC 6733 section 5.4.3.
 enum class DisconnectCause : std::uint32_t { kRebooting = 0, kBusy = 1, kDoNotWantToTalk = 2 };
 
-// What a peer machine asks of its owner. Calls may come from within any call of the machine.
+// Callbacks from a Peer to its owner. Any member function of Peer may invoke them before it returns.
 class PeerDelegate {
  public:
   virtual ~PeerDelegate() = default;
   virtual void connect() = 0;
-  virtual void send(Connection link, std::string bytes) = 0;
-  virtual void close(Connection link) = 0;
-  // The capabilities are exchanged: messages may pass.
+  virtual void send(Connection connection, std::string bytes) = 0;
+  virtual void close(Connection connection) = 0;
+  // The capabilities exchange succeeded; messages may be exchanged from now on.
   virtual void on_up() = 0;
-  // It was up and is no more; whatever was waited for from it won't come.
-  virtual void on_down(const std::string& why) = 0;
-  // The watchdog's fail-over (true) and fail-back (false): send nothing new while true.
+  // The connection was up and is lost; requests in flight won't be answered.
+  virtual void on_down(const std::string& reason) = 0;
+  // The watchdog fails over (true) or fails back (false). No new requests may be sent while it is true.
   virtual void on_suspect_change(bool now_suspect) = 0;
-  // A checked message of the Credit-Control application or of a session. `reopening`: by RFC 3539 it counts
-  // for nothing; a request must still be answered.
+  // A valid message of the Credit-Control application or of a session has arrived. If `reopening`, RFC 3539
+  // requires that it be discarded, but a request must still be answered.
   virtual void on_message(const MessageView& message, bool reopening) = 0;
-  // One line about something wrong that came from this peer.
+  // The peer violated the protocol; `what` is a one-line description.
   virtual void on_protocol_error(const std::string& what) = 0;
 };
 
@@ -79,96 +82,99 @@
     kClosing
   };
 
-  Peer(const LocalNode& local, PeerSettings settings, std::uint64_t seed, PeerDelegate& sink);
+  Peer(const LocalNode& local, PeerSettings settings, std::uint64_t seed, PeerDelegate& delegate);
 
   State state() const { return state_; }
   bool is_open() const { return state_ == State::kROpen || state_ == State::kIOpen; }
-  // Requests may be sent: open, and not suspect.
+  // Whether new requests may be sent: the peer is open and not suspect.
   bool can_send_requests() const { return is_open() && !suspect_; }
   const std::string& host() const { return settings_.host; }
   Watchdog::State watchdog_state() const { return watchdog_.state(); }
-  // The reason of the peer's DPR, if it sent one last.
-  std::optional<DisconnectCause> peer_disconnect_cause() const { return peer_cause_; }
-  // Origin-State-Id as the other side gave it last; 0: never. A change means that it lost its sessions
-  // (section 8.16).
-  std::uint32_t peer_origin_state_id() const { return peer_origin_state_; }
+  // The Disconnect-Cause of the DPR that the peer sent on its latest connection, if any.
+  std::optional<DisconnectCause> peer_disconnect_cause() const { return peer_disconnect_cause_; }
+  // The last Origin-State-Id received from the peer; 0 if none. A change means that the peer lost its
+  // sessions (section 8.16).
+  std::uint32_t peer_origin_state_id() const { return peer_origin_state_id_; }
 
   // ---- Events ----
-  void start(double now);         // begin to connect (initiators)
-  void on_connected(double now);  // our connection stands
+  void start(double now);         // starts connecting, if this node initiates
+  void on_connected(double now);  // the initiated connection is established
   void on_connect_failed(double now);
-  void on_received(Connection link, std::string_view bytes, double now);
-  void on_closed(Connection link, double now,
-                 const std::string& why = "connection lost");  // by the other side, or a fault
-  void stop(DisconnectCause cause, double now);                // DPR, then close; no reconnection after it
-  void tick(double now);                                       // call when `deadline` has passed
+  void on_received(Connection connection, std::string_view bytes, double now);
+  void on_closed(Connection connection, double now,
+                 const std::string& reason = "connection lost");  // closed by the peer, or by an error
+  void stop(DisconnectCause cause, double now);  // sends a DPR, then closes; does not reconnect
+  void tick(double now);                         // to be called once `deadline()` has passed
   double deadline() const;
-  // A connection was accepted and this CER came over it. True: it is now Connection::kAccepted, bytes that
-  // follow go to `received`. False: it was rejected; `reply` (may be empty) is to be sent and the connection
-  // closed.
+  // Offers an accepted connection whose first message is `cer`. Returns true if the connection is now
+  // Connection::kAccepted; further bytes go to `on_received`. Returns false if it is rejected: the caller
+  // sends `reply`, which may be empty, and closes the connection.
   bool accept(const MessageView& cer, double now, std::string& reply);
 
   // ---- Sending ----
   std::uint32_t next_hop_by_hop() { return ++hop_by_hop_; }
   std::uint32_t next_end_to_end() { return ++end_to_end_; }
-  // Sends an encoded message if the peer is open; false if not.
+  // Sends an encoded message. Returns false if the peer is not open.
   bool send(std::string bytes);
 
  private:
   void enter(State state, double now);
-  void open_on(Connection link, double now);
-  void fall(const std::string& why, double now);  // to Closed; tells the owner if it was open
-  void handle_message(Connection link, std::string_view frame, double now);
-  void handle_base(Connection link, const MessageView& message, double now);
+  void enter_open(Connection connection, double now);
+  // Closes both connections and enters Closed. Calls on_down if the peer was open or closing.
+  void enter_closed(const std::string& reason, double now);
+  void handle_message(Connection connection, std::string_view frame, double now);
+  void handle_base_message(Connection connection, const MessageView& message, double now);
   void handle_cea(const MessageView& message, double now);
-  void process_dpr(Connection link, const MessageView& message, double now);
-  void apply(const Watchdog::Actions& actions, double now);
-  void note_origin_state(const MessageView& message);
+  void handle_dpr(Connection connection, const MessageView& message, double now);
+  void apply_watchdog_actions(const Watchdog::Actions& actions, double now);
+  void record_origin_state(const MessageView& message);
   void send_cer();
   void send_dwr();
   std::string make_cea(const MessageView& cer) const;
   bool win_election() const { return local_.host > settings_.host; }
-  void close_link(Connection link);
-  bool live(Connection link) const { return link == Connection::kInitiated ? initiated_ : accepted_; }
-  Framer& framer(Connection link) { return *framers_[link == Connection::kInitiated ? 0 : 1]; }
+  void close_connection(Connection connection);
+  bool is_connected(Connection connection) const {
+    return connection == Connection::kInitiated ? initiated_ : accepted_;
+  }
+  Framer& framer(Connection connection) { return *framers_[connection == Connection::kInitiated ? 0 : 1]; }
 
   const LocalNode& local_;
   PeerSettings settings_;
-  PeerDelegate& sink_;
+  PeerDelegate& delegate_;
   State state_ = State::kClosed;
-  Connection link_ = Connection::kInitiated;  // the one that is open
-  bool initiated_ = false;
-  bool accepted_ = false;
-  bool stopped_ = false;
+  Connection open_connection_ = Connection::kInitiated;  // valid in the open and closing states
+  bool initiated_ = false;                               // whether the initiated connection is up
+  bool accepted_ = false;                                // whether the accepted connection is up
+  bool stopped_ = false;  // no connection is initiated or accepted until the next start()
   bool suspect_ = false;
-  bool agreed_ = false;  // the disconnection was agreed on by DPR
-  double timeout_ = 0;   // of the state; 0: none
+  bool disconnect_agreed_ = false;  // a DPR was sent or received on this connection
+  double state_deadline_ = 0;       // when the current state times out; infinity: never
   double reconnect_at_ = 0;
-  std::string held_cea_;  // for the accepted link, until the election is over
-  std::optional<DisconnectCause> peer_cause_;
-  std::uint32_t peer_origin_state_ = 0;
+  std::string deferred_cea_;  // CEA for the accepted connection, held back until the election is decided
+  std::optional<DisconnectCause> peer_disconnect_cause_;
+  std::uint32_t peer_origin_state_id_ = 0;
   std::unique_ptr<Framer> framers_[2];
-  std::mt19937_64 random_;
+  std::mt19937_64 rng_;
   Watchdog watchdog_;
   std::uint32_t hop_by_hop_;
   std::uint32_t end_to_end_;
-  std::uint32_t own_request_ = 0;  // hop-by-hop id of the CER, DWR or DPR that is out
+  std::uint32_t pending_request_id_ = 0;  // hop-by-hop id of the last CER, DWR or DPR sent
 };
 
 const char* name(Peer::State state);
 
-// An answer that reports a fault (RFC 6733 section 7.2): the E bit for protocol errors (3xxx), Session-Id and
-// Proxy-Info copied, Failed-AVP and Error-Message where there are any.
+// Builds an answer that reports an error (RFC 6733 section 7.2). Sets the E bit for protocol errors (3xxx),
+// copies Session-Id and Proxy-Info, and adds Failed-AVP and Error-Message unless they are empty.
 std::string error_answer(const LocalNode& local, const MessageView& request, std::uint32_t result_code,
                          std::string_view failed_avp, std::string_view text);
 
-// The header of the answer to a request: same ids, P bit kept, R and T cleared.
+// Returns the header of the answer to a request: the same ids, the P bit kept, R and T cleared.
 Header answer_header(const Header& request, bool error);
 
-// Copies every Proxy-Info of a request, untouched (section 6.7.2 wants their order kept).
+// Copies every well-formed Proxy-Info AVP of a request unchanged and in order, as section 6.7.2 requires.
 void copy_proxy_info(const MessageView& request, Builder& answer);
 
-// Whether the other side's CER or CEA offers Credit-Control or relay (section 5.3).
+// Whether a CER or CEA of the peer advertises Credit-Control or relay (section 5.3).
 bool has_common_application(const MessageView& message);
 
 }  // namespace mintrock::diameter
--- a/src/diameter/watchdog.cpp
+++ b/src/diameter/watchdog.cpp
@@ -8,69 +8,69 @@
 }
 
 Watchdog::Actions Watchdog::on_timer(double now) {
-  Actions out;
+  Actions actions;
   set_timer(now);
   switch (state_) {
     case State::kInitial:
     case State::kDown:
-      out.attempt_open = true;
+      actions.attempt_open = true;
       break;
     case State::kOkay:
       if (!pending_) {
-        out.send_watchdog = true;
+        actions.send_watchdog = true;
         pending_ = true;
       } else {
-        out.failover = true;
+        actions.failover = true;
         state_ = State::kSuspect;
       }
       break;
     case State::kSuspect:
-      out.close_connection = true;
+      actions.close_connection = true;
       state_ = State::kDown;
       break;
     case State::kReopen:
       if (!pending_) {
-        out.send_watchdog = true;
+        actions.send_watchdog = true;
         pending_ = true;
       } else if (num_dwa_ < 0) {
-        out.close_connection = true;
+        actions.close_connection = true;
         state_ = State::kDown;
       } else {
         num_dwa_ = -1;
       }
       break;
   }
-  return out;
+  return actions;
 }
 
 Watchdog::Actions Watchdog::on_connection_up(double now) {
-  Actions out;
+  Actions actions;
   set_timer(now);
   if (state_ == State::kDown) {
     num_dwa_ = 0;
-    out.send_watchdog = true;
+    actions.send_watchdog = true;
     pending_ = true;
     state_ = State::kReopen;
   } else {
     pending_ = false;
     state_ = State::kOkay;
-    out.failback = true;
+    actions.failback = true;
   }
-  return out;
+  return actions;
 }
 
 Watchdog::Actions Watchdog::on_connection_down(double now) {
-  Actions out;
-  if (state_ == State::kInitial || state_ == State::kDown) return out;
-  out.failover = state_ == State::kOkay;
-  out.close_connection = true;
+  Actions actions;
+  if (state_ == State::kInitial || state_ == State::kDown) return actions;
+  actions.failover = state_ == State::kOkay;
+  actions.close_connection = true;
   state_ = State::kDown;
   set_timer(now);
-  return out;
+  return actions;
 }
 
 Watchdog::Actions Watchdog::on_dwa(double now) {
-  Actions out;
+  Actions actions;
   switch (state_) {
     case State::kOkay:
       pending_ = false;
@@ -78,42 +78,42 @@
       break;
     case State::kSuspect:
       pending_ = false;
-      out.failback = true;
+      actions.failback = true;
       set_timer(now);
       state_ = State::kOkay;
       break;
     case State::kReopen:
       pending_ = false;
       num_dwa_ += 1;
-      if (num_dwa_ >= 3) {  // "until 3 watchdog messages have been received": NumDWA was 2
-        out.failback = true;
+      if (num_dwa_ >= 3) {  // "until 3 watchdog messages have been received" means that NumDWA was 2
+        actions.failback = true;
         state_ = State::kOkay;
       }
       break;
     default:
       break;
   }
-  return out;
+  return actions;
 }
 
 Watchdog::Actions Watchdog::on_non_dwa(double now) {
-  Actions out;
+  Actions actions;
   switch (state_) {
     case State::kOkay:
       set_timer(now);
       break;
     case State::kSuspect:
-      out.failback = true;
+      actions.failback = true;
       set_timer(now);
       state_ = State::kOkay;
       break;
     case State::kReopen:
-      out.discard_message = true;
+      actions.discard_message = true;
       break;
     default:
       break;
   }
-  return out;
+  return actions;
 }
 
 void Watchdog::reset(double now) {
