--- a/benchmarks/call_path.cpp
+++ b/benchmarks/call_path.cpp
@@ -1,4 +1,4 @@
-// What one step of a call costs, without sockets: reading, checking, writing, deciding.
+// Benchmarks of the steps of a call, without sockets: decoding, validating, encoding, deciding.
 #include <benchmark/benchmark.h>
 
 #include <string>
@@ -15,7 +15,7 @@
 
 namespace avp = diameter::avp;
 
-std::string setup() {
+std::string make_setup() {
   diameter::Header header;
   header.flags = diameter::kRequest | diameter::kProxiable;
   header.command = diameter::kCreditControl;
@@ -32,22 +32,22 @@
 }
 
 void Decode(benchmark::State& state) {
-  const std::string frame = setup();
+  const std::string frame = make_setup();
   diameter::MessageView view;
   for (auto _ : state) benchmark::DoNotOptimize(diameter::decode(frame, view));
 }
 BENCHMARK(Decode);
 
-void Check(benchmark::State& state) {
-  const std::string frame = setup();
+void Validate(benchmark::State& state) {
+  const std::string frame = make_setup();
   diameter::MessageView view;
   diameter::decode(frame, view);
   for (auto _ : state) benchmark::DoNotOptimize(diameter::validate(view));
 }
-BENCHMARK(Check);
+BENCHMARK(Validate);
 
 void ReadAndWriteSetup(benchmark::State& state) {
-  const std::string frame = setup();
+  const std::string frame = make_setup();
   diameter::MessageView view;
   diameter::decode(frame, view);
   for (auto _ : state) {
@@ -57,17 +57,17 @@
 }
 BENCHMARK(ReadAndWriteSetup);
 
-void FullDuplicates(benchmark::State& state) {
-  diameter::DuplicateCache seen(100000, 30);
+void FullDuplicateCache(benchmark::State& state) {
+  diameter::DuplicateCache cache(100000, 30);
   std::uint32_t id = 0;
   for (auto _ : state) {
-    benchmark::DoNotOptimize(seen.find_or_insert("dock-1.lab.test", ++id, 1));
-    seen.store_answer("dock-1.lab.test", id, std::string(200, 'x'));
+    benchmark::DoNotOptimize(cache.find_or_insert("dock-1.lab.test", ++id, 1));
+    cache.store_answer("dock-1.lab.test", id, std::string(200, 'x'));
   }
 }
-BENCHMARK(FullDuplicates);
+BENCHMARK(FullDuplicateCache);
 
-struct Nowhere : DeskPorts {
+struct NullDelegate : DeskPorts {
   void answer(CallId, const Verdict&) override {}
   void cut(CallId) override {}
   Handover send_setup(CallId, std::uint32_t, ServerId, double) override { return Handover::kTaken; }
@@ -78,30 +78,30 @@
   void log(const std::string&) override {}
 };
 
-// Offered, decided, stands, ends: the desk and the Controller together.
-void DeskCall(benchmark::State& state) {
-  Nowhere ports;
+// A complete call through the call manager and the Controller: offered, decided, established, ended.
+void CompleteCall(benchmark::State& state) {
+  NullDelegate delegate;
   Settings settings;
   settings.classes.resize(1);
-  CallDesk desk(settings, 1, 1000, ports);
-  desk.start(0);
+  CallDesk call_manager(settings, 1, 1000, delegate);
+  call_manager.start(0);
   ServerList list;
   list.entries.resize(3);
   for (std::uint32_t i = 0; i < 3; ++i) list.entries[i].id = i + 1;
-  desk.list(list, 0);
+  call_manager.list(list, 0);
   double now = 1;
   for (auto _ : state) {
     now += 0.001;
-    const CallId id = desk.next_call();
+    const CallId id = call_manager.next_call();
     Offer offer;
     offer.ttl_s = 3;
-    desk.offer(id, offer, now);
-    desk.stood(id, 0, {}, now + 0.0005);
-    desk.hang_up(id, now + 0.0006);
-    desk.tick(now + 0.0006);
+    call_manager.offer(id, offer, now);
+    call_manager.stood(id, 0, {}, now + 0.0005);
+    call_manager.hang_up(id, now + 0.0006);
+    call_manager.tick(now + 0.0006);
   }
 }
-BENCHMARK(DeskCall);
+BENCHMARK(CompleteCall);
 
 }  // namespace
 }  // namespace mintrock::edge
--- a/src/diameter/codec.cpp
+++ b/src/diameter/codec.cpp
@@ -189,8 +189,8 @@
   return *this;
 }
 
-Builder& Builder::raw(std::string_view whole) {
-  out_.append(whole);
+Builder& Builder::raw(std::string_view encoded) {
+  out_.append(encoded);
   append_padding();
   return *this;
 }
--- a/src/diameter/codec.hpp
+++ b/src/diameter/codec.hpp
@@ -117,7 +117,7 @@
   // Appends an IPv4 address (RFC 6733 section 4.3.1, address family 1).
   Builder& ipv4(const AvpDef& def, std::uint32_t host_order);
   // Appends an AVP that is already encoded, such as a Proxy-Info copied unchanged from a request.
-  Builder& raw(std::string_view whole);
+  Builder& raw(std::string_view encoded);
   Builder& begin_group(const AvpDef& def);
   Builder& end_group();
   // Closes any open groups and returns the message. The builder is empty afterwards.
--- a/tests/diameter/fuzz_test.cpp
+++ b/tests/diameter/fuzz_test.cpp
@@ -1,5 +1,5 @@
-// A seeded mutator over valid messages: whatever comes, the codec, the dictionary's check and the peer
-// machine neither crash nor keep more than they were given. A million mutations; the same ones every time.
+// Fuzz test: one million mutations of valid messages, from a fixed seed. The codec, the validation and the
+// peer state machine must neither crash nor store more than they were given.
 #include <gtest/gtest.h>
 
 #include <random>
@@ -13,22 +13,22 @@
 namespace mintrock::diameter {
 namespace {
 
-struct Quiet : PeerDelegate {
+struct CountingDelegate : PeerDelegate {
   void connect() override {}
   void send(Connection, std::string bytes) override {
     MessageView view;
-    if (decode(bytes, view) || validate(view)) broken += 1;
+    if (decode(bytes, view) || validate(view)) invalid_answers += 1;
   }
   void close(Connection) override {}
   void on_up() override {}
   void on_down(const std::string&) override {}
   void on_suspect_change(bool) override {}
   void on_message(const MessageView&, bool) override { messages += 1; }
-  void on_protocol_error(const std::string&) override { faults += 1; }
-  long broken = 0, messages = 0, faults = 0;
+  void on_protocol_error(const std::string&) override { protocol_errors += 1; }
+  long invalid_answers = 0, messages = 0, protocol_errors = 0;
 };
 
-std::vector<std::string> corpus() {
+std::vector<std::string> make_corpus() {
   std::vector<std::string> out;
   for (const std::uint32_t command :
        {kCapabilitiesExchange, kCreditControl, kAbortSession, kDeviceWatchdog, kDisconnectPeer}) {
@@ -74,7 +74,7 @@
       case 4:
         bytes.erase(at, 1 + random() % 8);
         break;
-      default:  // keeps the framing whole, so that the AVPs inside are what is tried
+      default:  // restores valid framing, so that the mutated AVPs are decoded
         if (bytes.size() > 3) {
           bytes.resize(bytes.size() & ~std::size_t{3});
           bytes[1] = static_cast<char>(bytes.size() >> 16);
@@ -86,35 +86,35 @@
   return bytes;
 }
 
-TEST(Fuzz, AMillionMutatedMessagesDoNoHarm) {
-  const std::vector<std::string> seeds = corpus();
+TEST(Fuzz, HandlesAMillionMutatedMessages) {
+  const std::vector<std::string> seeds = make_corpus();
   std::mt19937_64 random(20261201);
   LocalNode local;
   local.host = "b";
   local.realm = "example";
   PeerSettings settings;
   settings.max_message_length = 4096;
-  Quiet sink;
-  auto peer = std::make_unique<Peer>(local, settings, 1, sink);
+  CountingDelegate delegate;
+  auto peer = std::make_unique<Peer>(local, settings, 1, delegate);
   MessageView view;
   long decoded = 0;
   for (long i = 0; i < 1000000; ++i) {
     const std::string bytes = mutate(seeds[random() % seeds.size()], random);
     if (!decode(bytes, view) && !validate(view)) decoded += 1;
     ASSERT_LE(view.avps.size(), bytes.size() / 8 + 1);
-    if (i % 4 != 0) continue;  // the peer machine costs more
+    if (i % 4 != 0) continue;  // the peer state machine is slower
     if (!peer->is_open()) {
-      peer = std::make_unique<Peer>(local, settings, static_cast<std::uint64_t>(i), sink);
+      peer = std::make_unique<Peer>(local, settings, static_cast<std::uint64_t>(i), delegate);
       std::string reply;
       ASSERT_FALSE(decode(seeds[0], view));
       ASSERT_TRUE(peer->accept(view, 0, reply));
     }
     peer->on_received(Connection::kAccepted, bytes, 0);
   }
-  EXPECT_GT(decoded, 10000) << "the mutator must leave some whole";
-  EXPECT_GT(sink.faults, 10000);
-  EXPECT_GT(sink.messages, 1000);
-  EXPECT_EQ(sink.broken, 0) << "every answer that goes out is well-formed itself";
+  EXPECT_GT(decoded, 10000) << "some mutated messages must stay valid";
+  EXPECT_GT(delegate.protocol_errors, 10000);
+  EXPECT_GT(delegate.messages, 1000);
+  EXPECT_EQ(delegate.invalid_answers, 0) << "every message sent must be valid";
 }
 
 }  // namespace
