--- a/src/diameter/peer.cpp
+++ b/src/diameter/peer.cpp
@@ -378,20 +378,20 @@
 void Peer::handle_message(Connection connection, std::string_view frame, double now) {
   MessageView view;
   std::optional<Fault> fault = decode(frame, view);
-  const bool request = view.header.request();
+  const bool is_request = view.header.request();
   const std::uint32_t command = view.header.command;
-  const bool base =
+  const bool is_base_command =
       command == kCapabilitiesExchange || command == kDeviceWatchdog || command == kDisconnectPeer;
   if (!fault) {
     if (!is_known_command(command)) {
       fault = Fault{kCommandUnsupported, "", "command " + std::to_string(command)};
-    } else if (!base && view.header.application != kApplicationCreditControl) {
+    } else if (!is_base_command && view.header.application != kApplicationCreditControl) {
       fault = Fault{kApplicationUnsupported, "", "application " + std::to_string(view.header.application)};
     } else {
       fault = validate(view);
     }
   }
-  if (!fault && request && !base) {
+  if (!fault && is_request && !is_base_command) {
     for (const AvpView& each : view.avps) {
       if (each.code == avp::kRouteRecord.code && each.vendor == 0 && each.data == local_.host) {
         fault = Fault{kLoopDetected, "", "this node stands in Route-Record"};
@@ -400,28 +400,28 @@
   }
   bool reopening = false;
   if (settings_.watchdog_enabled && is_open() && connection == open_connection_) {
-    const bool dwa = command == kDeviceWatchdog && !request;
+    const bool is_dwa = command == kDeviceWatchdog && !is_request;
     const Watchdog::Actions actions =
-        dwa ? (fault ? Watchdog::Actions{} : watchdog_.on_dwa(now)) : watchdog_.on_non_dwa(now);
+        is_dwa ? (fault ? Watchdog::Actions{} : watchdog_.on_dwa(now)) : watchdog_.on_non_dwa(now);
     reopening = actions.discard_message;
     apply_watchdog_actions(actions, now);
   }
   if (fault) {
     delegate_.on_protocol_error("command " + std::to_string(command) + ": " + fault->text);
     // Section 6.2: answers are never answered; an invalid answer is dropped.
-    if (request) {
+    if (is_request) {
       delegate_.send(connection,
                      error_answer(local_, view, fault->result_code, fault->failed_avp, fault->text));
     } else if (state_ == State::kWaitICea || state_ == State::kWaitReturns) {
-      enter_closed("malformed CEA", now);
+      enter_closed("no valid CEA", now);
     }
     return;
   }
-  if (base) return handle_base_message(connection, view, now);
+  if (is_base_command) return handle_base_message(connection, view, now);
   if (!is_open() || connection != open_connection_) {
     if (state_ == State::kClosing && connection == open_connection_) {
       // Answers in flight are still accepted; new requests are not.
-      if (!request) return delegate_.on_message(view, false);
+      if (!is_request) return delegate_.on_message(view, false);
       delegate_.send(connection, error_answer(local_, view, kUnableToDeliver, {}, "closing"));
       return;
     }
@@ -433,10 +433,10 @@
 }
 
 void Peer::handle_base_message(Connection connection, const MessageView& view, double now) {
-  const bool request = view.header.request();
+  const bool is_request = view.header.request();
   switch (view.header.command) {
     case kCapabilitiesExchange:
-      if (!request) return handle_cea(view, now);
+      if (!is_request) return handle_cea(view, now);
       if (is_open() && connection == open_connection_) {
         delegate_.send(connection, make_cea(view));  // the peer updates its capabilities
       } else {
@@ -444,7 +444,7 @@
       }
       return;
     case kDeviceWatchdog:
-      if (request) {
+      if (is_request) {
         Builder dwa(answer_header(view.header, false));
         dwa.u32(avp::kResultCode, kSuccess);
         add_origin(dwa, local_);
@@ -453,7 +453,7 @@
       }
       return;
     case kDisconnectPeer:
-      if (request) return handle_dpr(connection, view, now);
+      if (is_request) return handle_dpr(connection, view, now);
       if (state_ == State::kClosing && view.header.hop_by_hop == pending_request_id_)
         enter_closed("disconnected", now);
       return;
--- a/src/diameter/watchdog.cpp
+++ b/src/diameter/watchdog.cpp
@@ -4,7 +4,7 @@
 
 void Watchdog::set_timer(double now) {
   std::uniform_real_distribution<double> jitter(-2.0, 2.0);
-  deadline_ = now + tw_init_ + jitter(random_);
+  deadline_ = now + tw_init_ + jitter(rng_);
 }
 
 Watchdog::Actions Watchdog::on_timer(double now) {
--- a/src/diameter/watchdog.hpp
+++ b/src/diameter/watchdog.hpp
@@ -26,7 +26,7 @@
 
   // `tw_init_s` is TwInit in seconds; section 3.4.1 requires at least 6. A jitter of up to 2 s either way is
   // added each time the timer is set.
-  Watchdog(double tw_init_s, std::uint64_t seed) : tw_init_(tw_init_s), random_(seed) {}
+  Watchdog(double tw_init_s, std::uint64_t seed) : tw_init_(tw_init_s), rng_(seed) {}
 
   State state() const { return state_; }
   // Whether a DWR is unanswered (Pending in RFC 3539).
@@ -51,7 +51,7 @@
   int num_dwa_ = 0;  // NumDWA of RFC 3539
   double tw_init_;
   double deadline_ = 0;
-  std::mt19937_64 random_;
+  std::mt19937_64 rng_;
 };
 
 const char* name(Watchdog::State state);
