--- a/src/edge/core_side.cpp
+++ b/src/edge/core_side.cpp
@@ -66,11 +66,11 @@
   diameter::PeerSettings settings;
   settings.host = server.entry.identity;
   settings.initiates = true;
-  settings.watchdog = config_.core.watchdog;
-  settings.tw_s = config_.core.watchdog_s;
-  settings.tc_s = config_.core.reconnect_s;
-  settings.answer_s = config_.core.connect_timeout_s;
-  settings.max_length = config_.max_message;
+  settings.watchdog_enabled = config_.core.watchdog;
+  settings.watchdog_interval_s = config_.core.watchdog_s;
+  settings.reconnect_interval_s = config_.core.reconnect_s;
+  settings.answer_timeout_s = config_.core.connect_timeout_s;
+  settings.max_message_length = config_.max_message;
   net::Address address;
   try {
     address = net::parse_address(server.entry.address);
@@ -112,11 +112,11 @@
   Server* server = find(id);
   if (server == nullptr || !server->link || stopping_) return SendResult::kNotSent;
   const diameter::Peer& peer = server->link->peer();
-  if (peer.usable()) {
+  if (peer.can_send_requests()) {
     transmit(*server, {call, attempt}, give_up_after_s, std::move(record));
     return SendResult::kAccepted;
   }
-  if (peer.open()) return SendResult::kNotSent;  // SUSPECT: nothing new may be sent (RFC 3539)
+  if (peer.is_open()) return SendResult::kNotSent;  // SUSPECT: nothing new may be sent (RFC 3539)
   if (peer.state() == diameter::Peer::State::kClosing) return SendResult::kNoConnection;
   // At start and after a lost connection, the connection is usually about to be established: wait for it.
   server->link->start();
@@ -144,7 +144,7 @@
 }
 
 void CoreSide::send_release(Server& server, RecordPtr record) {
-  if (!server.link || !server.link->peer().open())
+  if (!server.link || !server.link->peer().is_open())
     return server.sessions.queue_release(std::move(record), loop_.now());
   diameter::Peer& peer = server.link->peer();
   const std::uint32_t hop = peer.next_hop_by_hop();
@@ -159,7 +159,7 @@
     const bool named = server->entry.identity == identity;
     // A server that has left the list can only hold the call if its connection is still open.
     const bool may_hold =
-        server->entry.state != ServerEntry::State::kGone || (server->link && server->link->peer().open());
+        server->entry.state != ServerEntry::State::kGone || (server->link && server->link->peer().is_open());
     if (!server->link || (!named && !(identity.empty() && may_hold))) continue;
     if (!shared) shared = std::make_shared<CallRecord>(record);
     send_release(*server, shared);
@@ -208,7 +208,7 @@
   delegate_.core_event(server.entry.identity, "up", "");
   const double now = loop_.now();
   CoreSessions::Reconnection reconnection =
-      server.sessions.on_connected(server.link->peer().peer_origin_state(), now);
+      server.sessions.on_connected(server.link->peer().peer_origin_state_id(), now);
   // Releases go first: a call may be set up again under the same Session-Id.
   for (RecordPtr& each : reconnection.releases_to_send) send_release(server, std::move(each));
   std::vector<CoreSessions::QueuedSetup> queued = server.sessions.take_queued();
--- a/src/edge/credit_control.cpp
+++ b/src/edge/credit_control.cpp
@@ -98,8 +98,8 @@
   call.redial = number_of(request, avp::kRedialIndicator).value_or(0);
   call.request_number = number_of(request, avp::kCcRequestNumber).value_or(0);
   for (const AvpView& each : request.avps) {
-    if (each.code == avp::kProxyInfo.code && each.vendor == 0) append_padded(call.proxy_info, each.whole);
-    if (!is_hop_local(each)) append_padded(call.forwarded_avps, each.whole);
+    if (each.code == avp::kProxyInfo.code && each.vendor == 0) append_padded(call.proxy_info, each.encoded);
+    if (!is_hop_local(each)) append_padded(call.forwarded_avps, each.encoded);
   }
   return call;
 }
--- a/src/edge/diameter_front.cpp
+++ b/src/edge/diameter_front.cpp
@@ -9,12 +9,12 @@
 namespace mintrock::edge {
 
 using diameter::MessageView;
-using diameter::Result;
+using diameter::ResultCode;
 namespace {
 
 // The encoded message that a view was decoded from.
 std::string frame_of(const MessageView& view) {
-  return std::string(view.avps.front().whole.data() - diameter::kHeaderSize, view.header.length);
+  return std::string(view.avps.front().encoded.data() - diameter::kHeaderSize, view.header.length);
 }
 
 }  // namespace
@@ -48,8 +48,9 @@
 }
 
 std::size_t DiameterFront::open_peers() const {
-  return static_cast<std::size_t>(std::count_if(
-      callers_.begin(), callers_.end(), [](const auto& each) { return each.second->link->peer().open(); }));
+  return static_cast<std::size_t>(std::count_if(callers_.begin(), callers_.end(), [](const auto& each) {
+    return each.second->link->peer().is_open();
+  }));
 }
 
 // ---- Connections ----
@@ -101,7 +102,7 @@
     if (!fault && (view.header.command != diameter::kCapabilitiesExchange || !view.header.request())) {
       return reject_pending(id, "the first message is not a CER");
     }
-    if (!fault) fault = check(view);
+    if (!fault) fault = validate(view);
   }
   if (fault) {
     counters_.malformed += 1;
@@ -115,7 +116,7 @@
   const std::unique_ptr<PendingConnection> keep = std::move(pending_connections_.at(id));
   pending_connections_.erase(id);
   loop_.timers().cancel(keep->timer);
-  assign_to_peer(stream, view, keep->framer.rest());
+  assign_to_peer(stream, view, keep->framer.unread());
 }
 
 void DiameterFront::assign_to_peer(const std::shared_ptr<net::Stream>& stream, const MessageView& cer,
@@ -140,9 +141,9 @@
   slot->host = host;
   diameter::PeerSettings settings;
   settings.host = host;
-  settings.watchdog = true;
-  settings.tw_s = config_.callers.watchdog_s;
-  settings.max_length = config_.max_message;
+  settings.watchdog_enabled = true;
+  settings.watchdog_interval_s = config_.callers.watchdog_s;
+  settings.max_message_length = config_.max_message;
   PeerLink::Handlers handlers;
   Caller& caller = *slot;
   handlers.on_up = [this, &caller] {
@@ -214,14 +215,14 @@
       return on_termination(caller, view);
     default:
       caller.link->send(error_answer(local_, view, diameter::kInvalidAvpValue,
-                                     view.find(diameter::avp::kCcRequestType.code)->whole,
+                                     view.find(diameter::avp::kCcRequestType.code)->encoded,
                                      "calls are set up (1) or ended (3)"));
   }
 }
 
 void DiameterFront::on_setup(Caller& caller, const MessageView& view, bool reopening) {
   auto record = std::make_shared<CallRecord>(read_setup(view, caller.host));
-  const auto* known = duplicates_.seen(record->origin_host, record->end_to_end, loop_.now());
+  const auto* known = duplicates_.find_or_insert(record->origin_host, record->end_to_end, loop_.now());
   if (known != nullptr) {
     counters_.duplicates += 1;
     // A retransmitted request: resend its answer with the new hop-by-hop id. If there is no answer yet, it is
@@ -244,7 +245,7 @@
   }
   if (const auto fault = switchboard_.validate_setup(*record)) {
     std::string bytes = error_answer(local_, view, fault->result_code, fault->failed_avp, fault->text);
-    duplicates_.answered(record->origin_host, record->end_to_end, bytes);
+    duplicates_.store_answer(record->origin_host, record->end_to_end, bytes);
     caller.link->send(std::move(bytes));
     return;
   }
@@ -273,7 +274,7 @@
       answer.origin_realm = local_.realm;
       answer.text = "ended by the caller before it stood";
       std::string bytes = write_setup_answer(*call.record, answer);
-      duplicates_.answered(call.record->origin_host, call.record->end_to_end, bytes);
+      duplicates_.store_answer(call.record->origin_host, call.record->end_to_end, bytes);
       call.caller->link->send(std::move(bytes));
     }
     if (switchboard_.hang_up(id)) return await_confirmation(caller, std::move(end), session, 1, true);
@@ -324,7 +325,7 @@
 // Drops the message if the peer is not connected: it will send its request again.
 void DiameterFront::send_if_connected(const std::string& peer, std::string bytes) {
   const auto at = callers_.find(peer);
-  if (at != callers_.end() && at->second->link->peer().open()) at->second->link->send(std::move(bytes));
+  if (at != callers_.end() && at->second->link->peer().is_open()) at->second->link->send(std::move(bytes));
 }
 
 // One timer serves all pending ends: the oldest one is due first.
@@ -383,7 +384,7 @@
     answer.retry_after_s = 0;
   }
   std::string bytes = write_setup_answer(*call.record, answer);
-  duplicates_.answered(call.record->origin_host, call.record->end_to_end, bytes);
+  duplicates_.store_answer(call.record->origin_host, call.record->end_to_end, bytes);
   call.caller->link->send(std::move(bytes));
 }
 
@@ -391,7 +392,7 @@
   const auto found = calls_.find(id);
   if (found == calls_.end()) return;
   PeerLink& link = *found->second.caller->link;
-  if (!link.peer().open()) return;
+  if (!link.peer().is_open()) return;
   counters_.aborted += 1;
   diameter::Peer& peer = link.peer();
   const std::uint32_t hop = peer.next_hop_by_hop();
--- a/src/edge/diameter_front.hpp
+++ b/src/edge/diameter_front.hpp
@@ -11,7 +11,7 @@
 #include <string>
 #include <unordered_map>
 
-#include "diameter/duplicates.hpp"
+#include "diameter/duplicate_cache.hpp"
 #include "edge/config.hpp"
 #include "edge/front.hpp"
 #include "edge/peer_link.hpp"
@@ -111,7 +111,7 @@
   std::map<std::string, std::unique_ptr<Caller>> callers_;
   std::unordered_map<CallId, Call> calls_;
   std::unordered_map<std::string, CallId> call_by_session_;
-  diameter::Duplicates duplicates_;
+  diameter::DuplicateCache duplicates_;
   PendingTerminations pending_ends_;
   net::TimerId ends_timer_ = 0;
   FrontCounters counters_;
--- a/tests/edge/edge_test.cpp
+++ b/tests/edge/edge_test.cpp
@@ -42,7 +42,7 @@
 
 // Copies the encoded message: a view's bytes are invalid once its handler has returned.
 std::string bytes_of(const MessageView& view) {
-  return std::string(view.avps.front().whole.data() - diameter::kHeaderSize, view.header.length);
+  return std::string(view.avps.front().encoded.data() - diameter::kHeaderSize, view.header.length);
 }
 
 // A Diameter node that is scripted by the test.
@@ -95,7 +95,7 @@
   }
   void send_success(Line& line, const MessageView& view) {
     Builder b(diameter::answer_header(view.header, false));
-    if (const auto* session = view.find(avp::kSessionId.code)) b.raw(session->whole);
+    if (const auto* session = view.find(avp::kSessionId.code)) b.raw(session->encoded);
     b.u32(avp::kResultCode, diameter::kSuccess);
     if (view.header.command == diameter::kCapabilitiesExchange) {
       lab::write_capabilities(b, host, origin_state);
@@ -271,7 +271,7 @@
     EXPECT_EQ(view.find(avp::kOriginHost.code)->data, "dock-1.test") << "a proxy keeps the Origin-Host";
     EXPECT_EQ(view.find(avp::kRouteRecord.code)->data, "dock-1.test");
     EXPECT_EQ(view.header.end_to_end, 7u);
-    EXPECT_FALSE(diameter::check(view));
+    EXPECT_FALSE(diameter::validate(view));
     core.send_success(line, view);
   };
   Builder info{Header{}};
@@ -578,7 +578,7 @@
     local.host = core.host;
     local.realm = "test";
     line.send(diameter::error_answer(local, view, diameter::kAvpUnsupported,
-                                     view.find(avp::kCcRequestType.code)->whole, "not known here"));
+                                     view.find(avp::kCcRequestType.code)->encoded, "not known here"));
   };
   for (std::uint32_t i = 1; i <= 6; ++i) caller.send_ccr("s" + std::to_string(i), 1, i);
   wait_until([&] { return caller.answers.size() == 6; }, "answers");
@@ -587,7 +587,7 @@
   EXPECT_EQ(result_of(view), diameter::kAvpUnsupported);
   EXPECT_EQ(view.find(avp::kOriginHost.code)->data, core.host) << "the server that answered";
   EXPECT_EQ(view.find(avp::kErrorMessage.code)->data, "not known here");
-  EXPECT_EQ(view.find(avp::kRetryAfter.code, diameter::kVendorOwn), nullptr);
+  EXPECT_EQ(view.find(avp::kRetryAfter.code, diameter::kVendorMintrock), nullptr);
   EXPECT_EQ(describe_failed_avp(view.find(avp::kFailedAvp.code)->data), "CC-Request-Type (416)");
   EXPECT_EQ(core.setups, 6) << "no second attempt at the same server";
   std::string page;
@@ -634,7 +634,7 @@
   core.on_setup = [&](Line& line, const MessageView& view) {
     seen = foreign(view);
     Builder b(diameter::answer_header(view.header, true));
-    b.raw(view.find(avp::kSessionId.code)->whole).u32(avp::kResultCode, diameter::kTooBusy);
+    b.raw(view.find(avp::kSessionId.code)->encoded).u32(avp::kResultCode, diameter::kTooBusy);
     b.text(avp::kOriginHost, core.host).text(avp::kOriginRealm, "test");
     line.send(b.finish());
   };
