--- a/src/edge/edge.cpp
+++ b/src/edge/edge.cpp
@@ -446,7 +446,7 @@
       change.entries.push_back(kept_entry(each, here.wall));
     }
   }
-  keeper_->keep(std::move(change));
+  keeper_->write(std::move(change));
 }
 
 // A list that is connected and silent is confirmed all the same: its entries don't age meanwhile.
--- a/src/edge/edge.hpp
+++ b/src/edge/edge.hpp
@@ -20,7 +20,7 @@
 #include "fleet/hearsay.hpp"
 #include "list/client.hpp"
 #include "list/pool_list.hpp"
-#include "membership/keeper.hpp"
+#include "membership/async_store.hpp"
 #include "net/loop.hpp"
 
 namespace mintrock::edge {
--- a/src/membership/keeper.cpp
+++ b/src/membership/async_store.cpp
@@ -1,4 +1,4 @@
-#include "membership/keeper.hpp"
+#include "membership/async_store.hpp"
 
 #include <algorithm>
 #include <exception>
@@ -39,7 +39,7 @@
     open();
   }
   for (const std::string& each : loaded_.dropped) fault_(path + ": " + each);
-  thread_ = std::thread([this] { write(); });
+  thread_ = std::thread([this] { run_writer(); });
 }
 
 Keeper::~Keeper() {
@@ -51,7 +51,7 @@
   thread_.join();
 }
 
-void Keeper::keep(Change change) {
+void Keeper::write(Change change) {
   {
     const std::lock_guard<std::mutex> lock(mutex_);
     waiting_ = waiting_ ? merged(std::move(*waiting_), std::move(change)) : std::move(change);
@@ -59,7 +59,7 @@
   work_.notify_one();
 }
 
-void Keeper::write() {
+void Keeper::run_writer() {
   std::string last;
   std::unique_lock<std::mutex> lock(mutex_);
   for (;;) {
--- a/src/membership/keeper.hpp
+++ b/src/membership/async_store.hpp
@@ -2,8 +2,8 @@
 //
 // What is to be kept is handed over and written in order; changes that come faster than the disk takes them
 // are merged, so at most one waits. Faults are told once each, by the callback, on the thread that writes.
-#ifndef MINTROCK_SRC_MEMBERSHIP_KEEPER_HPP_
-#define MINTROCK_SRC_MEMBERSHIP_KEEPER_HPP_
+#ifndef MINTROCK_SRC_MEMBERSHIP_ASYNC_STORE_HPP_
+#define MINTROCK_SRC_MEMBERSHIP_ASYNC_STORE_HPP_
 
 #include <condition_variable>
 #include <functional>
@@ -30,10 +30,10 @@
   Keeper(const Keeper&) = delete;
 
   const Loaded& loaded() const { return loaded_; }  // as it was at the start
-  void keep(Change change);
+  void write(Change change);
 
  private:
-  void write();
+  void run_writer();
 
   std::function<void(const std::string&)> fault_;
   std::unique_ptr<Store> store_;
@@ -47,4 +47,4 @@
 
 }  // namespace mintrock::membership
 
-#endif  // MINTROCK_SRC_MEMBERSHIP_KEEPER_HPP_
+#endif  // MINTROCK_SRC_MEMBERSHIP_ASYNC_STORE_HPP_
--- a/tests/membership/store_test.cpp
+++ b/tests/membership/store_test.cpp
@@ -16,7 +16,7 @@
 #include <string>
 #include <vector>
 
-#include "membership/keeper.hpp"
+#include "membership/async_store.hpp"
 
 namespace mintrock::membership {
 namespace {
@@ -199,7 +199,7 @@
   const auto fault = [&](const std::string& what) { faults.push_back(what); };
   {
     Keeper keeper(path, Store::Durability::kPowerCut, fault);
-    for (std::uint64_t i = 1; i <= 200; ++i) keeper.keep(change(i, 3));
+    for (std::uint64_t i = 1; i <= 200; ++i) keeper.write(change(i, 3));
   }
   EXPECT_TRUE(faults.empty());
   {
