--- a/src/config/yaml.cpp
+++ b/src/config/yaml.cpp
@@ -76,7 +76,7 @@
   return node_.IsMap() ? node_[key] : YAML::Node(YAML::NodeType::Undefined);
 }
 
-YAML::Node Section::raw(const char* key) { return take(key); }
+YAML::Node Section::raw_node(const char* key) { return take(key); }
 
 void Section::fail(const char* key, const std::string& what) const {
   YAML::Mark mark = node_.Mark();
@@ -180,13 +180,13 @@
   }
 }
 
-void Section::section(const char* key, const std::function<void(Section&)>& each) {
+void Section::read_section(const char* key, const std::function<void(Section&)>& each) {
   Section inner(file_, path_ + key + ".", take(key));
   each(inner);
-  inner.finish();
+  inner.reject_unknown_keys();
 }
 
-void Section::sections(const char* key, const std::function<void(Section&)>& each) {
+void Section::read_sections(const char* key, const std::function<void(Section&)>& each) {
   const YAML::Node node = take(key);
   if (!node.IsDefined()) return;
   if (!node.IsSequence()) fail(key, "is no list");
@@ -194,11 +194,11 @@
   for (const YAML::Node& item : node) {
     Section inner(file_, path_ + key + "[" + std::to_string(place++) + "].", item);
     each(inner);
-    inner.finish();
+    inner.reject_unknown_keys();
   }
 }
 
-void Section::finish() const {
+void Section::reject_unknown_keys() const {
   if (!node_.IsMap()) return;
   for (const auto& pair : node_) {
     const std::string key = pair.first.IsScalar() ? pair.first.Scalar() : "?";
--- a/src/config/yaml.hpp
+++ b/src/config/yaml.hpp
@@ -38,13 +38,13 @@
   void read_list(const char* key, std::vector<std::string>& out);
   void read_numbers(const char* key, std::vector<std::uint32_t>& out);
   // The mapping or the list of mappings under a key; `each` is called with it, and finished after it.
-  void section(const char* key, const std::function<void(Section&)>& each);
-  void sections(const char* key, const std::function<void(Section&)>& each);
+  void read_section(const char* key, const std::function<void(Section&)>& each);
+  void read_sections(const char* key, const std::function<void(Section&)>& each);
   // Marks a key as known whose value the caller reads by itself.
-  YAML::Node raw(const char* key);
+  YAML::Node raw_node(const char* key);
 
   void require(const char* key) const;
-  void finish() const;
+  void reject_unknown_keys() const;
   [[noreturn]] void fail(const char* key, const std::string& what) const;
   const std::string& file() const { return file_; }
 
--- a/src/edge/admin.cpp
+++ b/src/edge/admin.cpp
@@ -96,7 +96,7 @@
       }
     }
   };
-  connection.stream->set(std::move(handlers));
+  connection.stream->set_handlers(std::move(handlers));
   connection.timer = loop_.after(kIdle, [this, id] { drop(id); });
   connections_[id] = std::move(made);
 }
--- a/src/edge/call_desk.cpp
+++ b/src/edge/call_desk.cpp
@@ -55,7 +55,7 @@
   }
   Call& call = calls_[id];
   call.begun = now;
-  call.overdue = timers_.at(now + offer.ttl_s, [this, id] {  // few bytes: no allocation
+  call.overdue = timers_.schedule(now + offer.ttl_s, [this, id] {  // few bytes: no allocation
     const auto found = calls_.find(id);
     if (found == calls_.end()) return;
     found->second.overdue = 0;
@@ -84,8 +84,8 @@
   call.sent = now;
   call.state = View::State::kOut;
   counts_.attempts += 1;
-  call.give_up =
-      timers_.at(now + action.give_up_after_s, [this, id = action.call, attempt] { give_up(id, attempt); });
+  call.give_up = timers_.schedule(now + action.give_up_after_s,
+                                  [this, id = action.call, attempt] { give_up(id, attempt); });
   const Handover handover = ports_.send_setup(action.call, attempt, action.server, action.give_up_after_s);
   if (handover == Handover::kTaken) return;
   const auto again = calls_.find(action.call);
@@ -295,7 +295,7 @@
 
 void CallDesk::act(const SetTimer& action, double now) {
   const double due = now + action.after_s;
-  timers_.at(due, [this, token = action.token] { decide(timer_now_, TimerFired{token}); });
+  timers_.schedule(due, [this, token = action.token] { decide(timer_now_, TimerFired{token}); });
 }
 
 void CallDesk::act(const Subscribe&, double) { ports_.subscribe(); }
--- a/src/edge/call_desk.hpp
+++ b/src/edge/call_desk.hpp
@@ -116,7 +116,7 @@
     timer_now_ = now;
     timers_.run(now);
   }
-  double deadline() const { return timers_.next(); }
+  double deadline() const { return timers_.next_due(); }
 
   struct View {
     enum class State { kDeciding, kOut, kStands };
--- a/src/edge/config.cpp
+++ b/src/edge/config.cpp
@@ -89,13 +89,13 @@
   Config out;
   Settings& s = out.settings;
   top.require("node");
-  top.section("node", [&](config::Section& from) {
+  top.read_section("node", [&](config::Section& from) {
     read_identity(from, "identity", out.node.identity);
     read_identity(from, "realm", out.node.realm);
     read_address(from, "listen", out.node.listen, true);
     read_address(from, "admin", out.node.admin, true);
   });
-  top.section("core", [&](config::Section& from) {
+  top.read_section("core", [&](config::Section& from) {
     from.read("plain", out.core.plain);
     from.read("watchdog", out.core.watchdog);
     from.read_time("watchdog_interval", out.core.watchdog_s, 6, kDay);  // RFC 3539 3.4.1: not under 6 s
@@ -105,7 +105,7 @@
     from.read_time("linger", out.core.linger_s, 0, kDay);
     from.read("max_unsent", out.core.max_unsent, 4096, 1u << 30);
   });
-  top.section("callers", [&](config::Section& from) {
+  top.read_section("callers", [&](config::Section& from) {
     from.read_list("peers", out.callers.peers);
     from.read("plain", out.callers.plain);
     from.read_time("watchdog_interval", out.callers.watchdog_s, 6, kDay);
@@ -118,7 +118,7 @@
     from.read("max_duplicates", out.callers.max_duplicates, 1, 10000000);
   });
   top.require("list");
-  top.section("list", [&](config::Section& from) {
+  top.read_section("list", [&](config::Section& from) {
     read_address(from, "server", out.list.server, true);
     from.read("path", out.list.path);
     from.read("cache_file", out.list.cache_file);
@@ -130,7 +130,7 @@
     from.read_time("reconnect", out.list.reconnect_s, 0.01, kDay);
     from.read_time("idle", out.list.idle_s, 0.1, kDay);
   });
-  top.section("fleet", [&](config::Section& from) {
+  top.read_section("fleet", [&](config::Section& from) {
     from.read("size", s.fleet_size, 1, 100000);
     from.read("own_number", s.own_number, 0, 99999);
     std::vector<std::string> peers;
@@ -149,22 +149,22 @@
   });
   top.require("classes");
   std::vector<std::string> names;
-  top.sections("classes", [&](config::Section& from) { read_class(from, out, names); });
+  top.read_sections("classes", [&](config::Section& from) { read_class(from, out, names); });
   if (s.classes.empty()) top.fail("classes", "is empty");
   std::vector<std::string> choices = names;
   choices.emplace_back("refuse");
   std::size_t unknown = names.size();
   top.read_choice("unknown_class", choices, unknown);
   if (unknown < names.size()) out.classes.unknown = static_cast<std::uint32_t>(unknown);
-  top.sections("realms", [&](config::Section& from) { read_realm(from, out); });
-  top.section("rules", [&](config::Section& from) { read_rules(from, s); });
+  top.read_sections("realms", [&](config::Section& from) { read_realm(from, out); });
+  top.read_section("rules", [&](config::Section& from) { read_rules(from, s); });
   s.gives_retry_after = s.max_retry_after_s > 0;
   s.asks_for_list = true;
-  top.section("limits", [&](config::Section& from) {
+  top.read_section("limits", [&](config::Section& from) {
     from.read("calls", out.max_calls, 1, 10000000);
     from.read("message_bytes", out.max_message, 1024, 1u << 24);
   });
-  top.section("log", [&](config::Section& from) {
+  top.read_section("log", [&](config::Section& from) {
     static const std::vector<std::string> kLevels = {"debug", "info", "warning", "error"};
     std::size_t level = 1;
     from.read_choice("level", kLevels, level);
@@ -174,7 +174,7 @@
   std::uint32_t seed = 0;
   top.read("seed", seed, 0, 0xFFFFFFFFu);
   out.seed = seed;
-  top.finish();
+  top.reject_unknown_keys();
   return out;
 }
 
--- a/src/edge/core_side.cpp
+++ b/src/edge/core_side.cpp
@@ -178,7 +178,7 @@
   if (server.timer == net::TimerId() ? due > 1e15 : due == server.timer.when) return;
   loop_.timers().cancel(std::exchange(server.timer, 0));
   if (due > 1e15) return;
-  server.timer = loop_.timers().at(due, [this, &server] {
+  server.timer = loop_.timers().schedule(due, [this, &server] {
     server.timer = 0;
     const CoreSessions::Over over = server.sessions.tick(loop_.now());
     end(over.no_connection, Outcome::kConnectFailed);
--- a/src/edge/diameter_front.cpp
+++ b/src/edge/diameter_front.cpp
@@ -69,7 +69,7 @@
   net::Stream::Handlers handlers;
   handlers.on_bytes = [this, id](std::string_view bytes) { gate_bytes(id, bytes); };
   handlers.on_closed = [this, id](const std::string& why) { drop_gate(id, why); };
-  gate->stream->set(std::move(handlers));
+  gate->stream->set_handlers(std::move(handlers));
   gate->timer = loop_.after(config_.callers.cer_s, [this, id] { drop_gate(id, "no CER in time"); });
   gates_[id] = std::move(gate);
 }
@@ -326,7 +326,7 @@
 void DiameterFront::watch_ends() {
   const double due = endings_.deadline();
   if (ends_timer_ != net::TimerId() || due > 1e15) return;
-  ends_timer_ = loop_.timers().at(due, [this] {
+  ends_timer_ = loop_.timers().schedule(due, [this] {
     ends_timer_ = 0;
     for (const EndRequest& each : endings_.overdue(loop_.now())) {
       counts_.unconfirmed += 1;
--- a/src/edge/edge.cpp
+++ b/src/edge/edge.cpp
@@ -141,7 +141,7 @@
            }},
           {"/calls", [this] { return calls(); }}});
   if (config_.settings.tells_peers) {
-    datagrams_ = std::make_unique<net::Datagrams>(
+    datagrams_ = std::make_unique<net::DatagramSocket>(
         loop_, config_.fleet.listen,
         [this](std::string_view bytes, net::Address from) { on_datagram(bytes, from); });
   }
@@ -171,7 +171,7 @@
   loop_.timers().cancel(std::exchange(desk_timer_, 0));
   if (due == std::numeric_limits<double>::infinity()) return;
   desk_timer_at_ = due;
-  desk_timer_ = loop_.timers().at(due, [this] {
+  desk_timer_ = loop_.timers().schedule(due, [this] {
     desk_timer_ = 0;
     desk_.tick(loop_.now());
     watch_desk();
@@ -352,7 +352,7 @@
 
 namespace {
 
-membership::Moment moment(double monotonic) {
+membership::ClockReading moment(double monotonic) {
   static const std::string kBoot = [] {  // read once: it can't change while this process lives
     std::ifstream in("/proc/sys/kernel/random/boot_id");
     std::string boot;
@@ -362,8 +362,8 @@
   return {net::wall_now(), monotonic, kBoot};
 }
 
-membership::KeptEntry kept_entry(const list::Entry& entry, double wall) {
-  membership::KeptEntry out;
+membership::StoredEntry kept_entry(const list::Entry& entry, double wall) {
+  membership::StoredEntry out;
   out.identity = entry.identity;
   out.address = entry.address;
   out.node = entry.node;
@@ -380,7 +380,7 @@
 bool Edge::load_kept_list() {
   if (config_.list.store.empty()) return false;
   try {
-    keeper_ = std::make_unique<membership::Keeper>(
+    keeper_ = std::make_unique<membership::AsyncStore>(
         config_.list.store,
         config_.list.store_power_cut ? membership::Store::Durability::kPowerCut
                                      : membership::Store::Durability::kProcessCrash,
@@ -395,36 +395,36 @@
   }
   tell_store_faults();
   confirm_list();
-  const membership::Loaded& loaded = keeper_->loaded();
+  const membership::StoredList& loaded = keeper_->loaded();
   if (loaded.entries.empty()) return false;
   const double now = loop_.now();
-  const membership::Moment here = moment(now);
-  const membership::Moment then{loaded.wall, loaded.monotonic, loaded.boot};
+  const membership::ClockReading here = moment(now);
+  const membership::ClockReading then{loaded.wall, loaded.monotonic, loaded.boot};
   list::News news;  // revision 0: whatever comes next is news, the list may have begun anew
-  for (const membership::KeptEntry& each : loaded.entries) {
+  for (const membership::StoredEntry& each : loaded.entries) {
     news.entries.push_back(
         {each.identity, each.address, each.node, each.kind, each.weight, each.state, each.started_at});
   }
   book_.take(news);
   ServerList told = book_.event(news, ServerList::Mode::kCached, now, here.wall);
-  std::vector<membership::Kept> kept;
+  std::vector<membership::AssessedEntry> kept;
   for (std::size_t i = 0; i < loaded.entries.size(); ++i) {
-    const membership::Age age = membership::age_of(loaded.entries[i].last_confirmed, then, here);
+    const membership::Age age = membership::confirmation_age(loaded.entries[i].last_confirmed, then, here);
     membership::Evidence evidence;
     evidence.confirmed_age_s = age.seconds;
-    evidence.clock_doubtful = age.doubtful || !loaded.whole;  // what was damaged may have been the age
+    evidence.clock_unreliable = age.unreliable || !loaded.intact;  // what was damaged may have been the age
     evidence.source = loaded.entries[i].source;
     const auto entry = std::find_if(told.entries.begin(), told.entries.end(), [&](const ServerEntry& each) {
       return each.id == book_.number(loaded.entries[i].identity);
     });
     if (entry == told.entries.end()) continue;
-    kept.push_back({*entry, membership::judge(config_.list.trust, evidence)});
+    kept.push_back({*entry, membership::assess(config_.list.trust, evidence)});
     log_event(info, "list_kept",
               {{"peer", loaded.entries[i].identity},
-               {"trust", std::to_string(kept.back().trust.degree)},
-               {"detail", kept.back().trust.why}});
+               {"trust", std::to_string(kept.back().trust.score)},
+               {"detail", kept.back().trust.reason}});
   }
-  told.entries = membership::tell(kept, now);
+  told.entries = membership::cached_list_entries(kept, now);
   desk_.list(told, now);
   for (const ServerEntry& each : told.entries) core_.update(each.id, *book_.find(each.id));
   return true;
@@ -432,7 +432,7 @@
 
 void Edge::keep_list(const list::News& news) {
   if (!keeper_) return;
-  const membership::Moment here = moment(loop_.now());
+  const membership::ClockReading here = moment(loop_.now());
   membership::Change change;
   change.revision = news.revision;
   change.wall = here.wall;
--- a/src/edge/edge.hpp
+++ b/src/edge/edge.hpp
@@ -104,14 +104,14 @@
   DiameterFront front_;
   std::unordered_map<CallId, CallEntry> calls_;
   std::unique_ptr<list::Client> list_;
-  std::unique_ptr<net::Datagrams> datagrams_;
+  std::unique_ptr<net::DatagramSocket> datagrams_;
   fleet::Writer hearsay_out_;
   fleet::Reader hearsay_in_;
   std::unique_ptr<Admin> admin_;
   // Told by the store's own thread, logged by the loop.
   std::mutex store_faults_mutex_;
   std::vector<std::string> store_faults_;
-  std::unique_ptr<membership::Keeper> keeper_;
+  std::unique_ptr<membership::AsyncStore> keeper_;
   net::TimerId desk_timer_ = 0;
   double desk_timer_at_ = 0;
   net::TimerId drain_timer_ = 0;
--- a/src/edge/peer_link.cpp
+++ b/src/edge/peer_link.cpp
@@ -84,7 +84,7 @@
     }
     reschedule();
   };
-  watched->set(std::move(handlers));
+  watched->set_handlers(std::move(handlers));
 }
 
 void PeerLink::send(Link link, std::string bytes) {
@@ -104,7 +104,7 @@
   loop_.timers().cancel(std::exchange(timer_, 0));
   if (due > 1e15) return;
   timer_at_ = due;
-  timer_ = loop_.timers().at(due, [this] {
+  timer_ = loop_.timers().schedule(due, [this] {
     timer_ = 0;
     if (loop_.now() >= peer_.deadline()) peer_.tick(loop_.now());
     reschedule();
--- a/src/lab/bench.cpp
+++ b/src/lab/bench.cpp
@@ -88,7 +88,7 @@
     std::function<void()> tick = [&] {
       const auto due = [&] { return counted_ + static_cast<double>(sent) / rate; };
       for (; due() <= loop_.now() && due() < until_; ++sent) dial(due(), 0);
-      if (due() < until_) loop_.timers().at(due(), tick);
+      if (due() < until_) loop_.timers().schedule(due(), tick);
     };
     tick();
     Result out = finish(seconds);
@@ -120,7 +120,7 @@
         both[(sent + sent / 2) % 2]->dial(due(), sent / 2);
         sent += 1;
       }
-      if (sent < 2 * count) loop.timers().at(due(), tick);
+      if (sent < 2 * count) loop.timers().schedule(due(), tick);
     };
     tick();
     one.finish(seconds);
@@ -143,7 +143,7 @@
     until_ = counted_ + seconds;
   }
   Result finish(double seconds) {
-    loop_.timers().at(until_ + 0.3, [this] { loop_.stop(); });
+    loop_.timers().schedule(until_ + 0.3, [this] { loop_.stop(); });
     loop_.run();
     result_.rate = static_cast<double>(result_.delays.size()) / seconds;
     std::sort(result_.delays.begin(), result_.delays.end());
--- a/src/lab/call.cpp
+++ b/src/lab/call.cpp
@@ -347,7 +347,8 @@
   }
   const double rate = crowd.scenario.rate * load_factor(crowd.scenario, at);
   const double gap = std::exponential_distribution<double>(rate)(crowd.random);
-  crowd.loop.timers().at(std::max(crowd.loop.now(), crowd.run.epoch + at + gap), [&crowd] { arrive(crowd); });
+  crowd.loop.timers().schedule(std::max(crowd.loop.now(), crowd.run.epoch + at + gap),
+                               [&crowd] { arrive(crowd); });
 }
 
 }  // namespace
@@ -362,15 +363,15 @@
   for (const Event& event : scenario.events) {
     Caller* caller = event.to_caller ? crowd.callers[event.target].get() : nullptr;
     if (caller == nullptr) continue;
-    loop.timers().at(run.epoch + event.at_s, [&loop, &event, caller] {
+    loop.timers().schedule(run.epoch + event.at_s, [&loop, &event, caller] {
       if (event.kind == Event::Kind::kCallerLost) return caller->lose_connection();
       caller->set_silent(true);
       loop.after(event.for_s, [caller] { caller->set_silent(false); });
     });
   }
-  loop.timers().at(run.epoch, [&] { arrive(crowd); });
+  loop.timers().schedule(run.epoch, [&] { arrive(crowd); });
   const double end = run.epoch + scenario.duration_s + scenario.patience_s;
-  loop.timers().at(run.epoch + scenario.duration_s, [&] {
+  loop.timers().schedule(run.epoch + scenario.duration_s, [&] {
     crowd.ending = true;
     for (auto& each : crowd.callers) each->end_all();
   });
@@ -384,7 +385,7 @@
     for (auto& each : crowd.callers) each->leave();
     loop.after(0.2, [&] { loop.stop(); });
   };
-  loop.timers().at(end + kLastAnswers, leave);
+  loop.timers().schedule(end + kLastAnswers, leave);
   loop.on_signal(SIGTERM, [&] { loop.stop(); });
   loop.run();
   trace.flush();
--- a/src/lab/core.cpp
+++ b/src/lab/core.cpp
@@ -319,7 +319,7 @@
     loop_.timers().cancel(timer_);
     timer_ = 0;
     if (!up_ || processor_->due() > 1e15) return;
-    timer_ = loop_.timers().at(processor_->due(), [this] {
+    timer_ = loop_.timers().schedule(processor_->due(), [this] {
       timer_ = 0;
       const std::uint64_t job = processor_->finish(loop_.now());
       const auto found = jobs_.find(job);
@@ -394,7 +394,8 @@
   }
   for (const Event& event : scenario.events) {
     if (!about_core(event)) continue;
-    loop.timers().at(run.epoch + event.at_s, [&servers, &event] { servers[event.target]->fault(event); });
+    loop.timers().schedule(run.epoch + event.at_s,
+                           [&servers, &event] { servers[event.target]->fault(event); });
   }
   loop.on_signal(SIGTERM, [&] { loop.stop(); });
   loop.run();
--- a/src/lab/line.cpp
+++ b/src/lab/line.cpp
@@ -39,7 +39,7 @@
     record(v1::Record::CLOSED, false, {}, why);
     if (handlers_.on_closed) handlers_.on_closed(why);
   };
-  stream_->set(std::move(to));
+  stream_->set_handlers(std::move(to));
 }
 
 Line::~Line() {
--- a/src/lab/list.cpp
+++ b/src/lab/list.cpp
@@ -50,15 +50,15 @@
     if (event.kind == Event::Kind::kCrash || event.kind == Event::Kind::kDrain) {
       const auto state =
           event.kind == Event::Kind::kCrash ? ServerEntry::State::kGone : ServerEntry::State::kDraining;
-      loop_.timers().at(told, [change, state] { change(state, 0); });
-      loop_.timers().at(back, [change, started] { change(ServerEntry::State::kReady, started); });
+      loop_.timers().schedule(told, [change, state] { change(state, 0); });
+      loop_.timers().schedule(back, [change, started] { change(ServerEntry::State::kReady, started); });
     } else if (event.kind == Event::Kind::kListDown) {
-      loop_.timers().at(run.epoch + event.at_s, [this] {
+      loop_.timers().schedule(run.epoch + event.at_s, [this] {
         listener_.reset();
         for (auto& [id, each] : subscribers_) each.stream->close();
         subscribers_.clear();
       });
-      loop_.timers().at(run.epoch + event.at_s + event.for_s, [this] { listen(); });
+      loop_.timers().schedule(run.epoch + event.at_s + event.for_s, [this] { listen(); });
     }
   }
 
@@ -91,7 +91,7 @@
           "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nCache-Control: no-store\r\n\r\n");
       tell(s, {revision_, true, entries_, {}});
     };
-    each.stream->set(std::move(handlers));
+    each.stream->set_handlers(std::move(handlers));
   }
 
   void publish(const mintrock::list::Entry& entry) {
--- a/src/lab/mutate.cpp
+++ b/src/lab/mutate.cpp
@@ -158,7 +158,7 @@
 std::vector<Mutation> load_mutations(const std::string& file) {
   config::Section top = config::load(file);
   std::vector<Mutation> out;
-  top.sections("mutations", [&](config::Section& from) {
+  top.read_sections("mutations", [&](config::Section& from) {
     Mutation m;
     from.require("name");
     from.read("name", m.name);
@@ -169,7 +169,7 @@
     from.read("target", m.target);
     from.read("test", m.test);
     from.read("holds", m.holds);
-    from.sections("changes", [&](config::Section& each) {
+    from.read_sections("changes", [&](config::Section& each) {
       Mutation::Change change;
       each.require("file");
       each.read("file", change.file);
@@ -184,7 +184,7 @@
     if (m.test.empty() != m.target.empty()) from.fail("target", "goes with test");
     out.push_back(m);
   });
-  top.finish();
+  top.reject_unknown_keys();
   return out;
 }
 
--- a/src/lab/scenario.cpp
+++ b/src/lab/scenario.cpp
@@ -133,20 +133,20 @@
   top.read("proxies", out.proxies, 1, 64);
   top.read("callers", out.callers, 1, 1000);
   top.read("cores", out.cores, 1, 64);
-  top.section("load", [&](config::Section& from) {
+  top.read_section("load", [&](config::Section& from) {
     from.read("rate", out.rate, 0.1, 1e6);
     from.read_time("patience", out.patience_s, 0.05, kDay);
     from.read("redials", out.redials, 0, 100);
     from.read_time("redial_after", out.redial_after_s, 0.01, kDay);
     from.read("abandon", out.abandon_share, 0, 1);
   });
-  top.section("processor", [&](config::Section& from) {
+  top.read_section("processor", [&](config::Section& from) {
     from.read_time("setup_work", out.setup_work_s, 0, 10);
     from.read_time("release_work", out.release_work_s, 0, 10);
     from.read_time("full_after", out.full_after_s, 0.01, kDay);
     from.read_time("reports_every", out.reports_every_s, 0, kDay);
   });
-  top.section("rules", [&](config::Section& from) {
+  top.read_section("rules", [&](config::Section& from) {
     edge::read_rules(from, out.rules);
     from.read_time("drain_grace", out.drain_grace_s, 0, kDay);
   });
@@ -155,10 +155,10 @@
   top.read("core_watchdog", out.core_watchdog);
   top.read("log_level", out.log_level);
   top.require("classes");
-  top.sections("classes", [&](config::Section& from) { read_class(from, out); });
+  top.read_sections("classes", [&](config::Section& from) { read_class(from, out); });
   if (out.classes.empty()) top.fail("classes", "is empty");
-  top.sections("events", [&](config::Section& from) { read_event(from, out); });
-  top.section("kills", [&](config::Section& from) {
+  top.read_sections("events", [&](config::Section& from) { read_event(from, out); });
+  top.read_section("kills", [&](config::Section& from) {
     from.read_time("every", out.kill_every_s, 0.01, kDay);
     std::vector<std::string> range;
     from.read_list("down", range);
@@ -173,7 +173,7 @@
     if (out.kill_down_least_s > out.kill_down_most_s) from.fail("down", "begins after its end");
   });
   if (out.kill_every_s > 0) draw_kills(out);
-  top.finish();
+  top.reject_unknown_keys();
   std::stable_sort(out.events.begin(), out.events.end(),
                    [](const Event& a, const Event& b) { return a.at_s < b.at_s; });
   return out;
--- a/src/lab/soak/callers.cpp
+++ b/src/lab/soak/callers.cpp
@@ -94,7 +94,7 @@
   ledger_.edge_stopped(edge_, planned, loop_.now());
   open_.clear();
   for (auto& [id, connection] : std::exchange(connections_, {})) {
-    connection.stream->set({});
+    connection.stream->set_handlers({});
     connection.stream->close();
   }
 }
@@ -103,16 +103,16 @@
   const std::size_t id = ++last_connection_;
   Connection& connection = connections_[id];
   connection.stream = net::Stream::connect(loop_, to_, kMostUnsent);
-  connection.stream->set({[this, id] { connected(id); },
-                          [this, id](std::string_view bytes) {
-                            connections_.at(id).cutter.feed(bytes);
-                            while (connections_.count(id) != 0) {
-                              const auto message = connections_.at(id).cutter.next();
-                              if (!message) return;
-                              take(id, *message);
-                            }
-                          },
-                          [this, id](const std::string&) { closed(id); }});
+  connection.stream->set_handlers({[this, id] { connected(id); },
+                                   [this, id](std::string_view bytes) {
+                                     connections_.at(id).cutter.feed(bytes);
+                                     while (connections_.count(id) != 0) {
+                                       const auto message = connections_.at(id).cutter.next();
+                                       if (!message) return;
+                                       take(id, *message);
+                                     }
+                                   },
+                                   [this, id](const std::string&) { closed(id); }});
   return id;
 }
 
@@ -186,7 +186,7 @@
 
 // Closed from here: the callers whose set-ups are open on it have left with it.
 void Callers::abandon(std::size_t connection) {
-  connections_.at(connection).stream->set({});
+  connections_.at(connection).stream->set_handlers({});
   connections_.erase(connection);
   std::vector<std::uint64_t> gone;
   for (const auto& [id, open] : open_) {
--- a/src/lab/soak/core_server.cpp
+++ b/src/lab/soak/core_server.cpp
@@ -100,23 +100,23 @@
   Connection& connection = connections_[id];
   connection.edge = edge;
   connection.stream = net::Stream::adopt(loop_, fd, from, kMostUnsent);
-  connection.stream->set({{},
-                          [this, id](std::string_view bytes) {
-                            run([this, id, text = std::string(bytes)] {
-                              const auto found = connections_.find(id);
-                              if (found == connections_.end()) return;
-                              found->second.cutter.feed(text);
-                              while (connections_.count(id) != 0) {
-                                const auto line = connections_.at(id).cutter.next();
-                                if (!line) return;
-                                take(id, std::string(*line));
-                              }
-                            });
-                          },
-                          [this, id](const std::string&) {
-                            give_up_open(id);  // whether the process runs or hangs
-                            run([this, id] { connection_lost(id); });
-                          }});
+  connection.stream->set_handlers({{},
+                                   [this, id](std::string_view bytes) {
+                                     run([this, id, text = std::string(bytes)] {
+                                       const auto found = connections_.find(id);
+                                       if (found == connections_.end()) return;
+                                       found->second.cutter.feed(text);
+                                       while (connections_.count(id) != 0) {
+                                         const auto line = connections_.at(id).cutter.next();
+                                         if (!line) return;
+                                         take(id, std::string(*line));
+                                       }
+                                     });
+                                   },
+                                   [this, id](const std::string&) {
+                                     give_up_open(id);  // whether the process runs or hangs
+                                     run([this, id] { connection_lost(id); });
+                                   }});
   run([this, id, edge] {
     say_state(id);
     const auto found = connections_.find(id);
--- a/src/lab/soak/discovery.cpp
+++ b/src/lab/soak/discovery.cpp
@@ -61,9 +61,9 @@
 void Discovery::accept(int fd, net::Address from) {
   const std::size_t id = ++last_;
   watchers_[id].stream = net::Stream::adopt(loop_, fd, from, kMostUnsent);
-  watchers_[id].stream->set({{},
-                             [this, id](std::string_view bytes) { request(id, bytes); },
-                             [this, id](const std::string&) { watchers_.erase(id); }});
+  watchers_[id].stream->set_handlers({{},
+                                      [this, id](std::string_view bytes) { request(id, bytes); },
+                                      [this, id](const std::string&) { watchers_.erase(id); }});
 }
 
 void Discovery::request(std::size_t id, std::string_view bytes) {
@@ -114,7 +114,7 @@
 
 void Discovery::break_off() {
   for (auto& [id, watcher] : std::exchange(watchers_, {})) {
-    watcher.stream->set({});
+    watcher.stream->set_handlers({});
     watcher.stream->write("id: 999\ndata: {\"offs");
     watcher.stream->close_after_flush();
   }
@@ -127,7 +127,7 @@
   }
   listener_.reset();
   for (auto& [id, watcher] : std::exchange(watchers_, {})) {
-    watcher.stream->set({});
+    watcher.stream->set_handlers({});
     watcher.stream->close();
   }
 }
--- a/src/lab/soak/fault_line.cpp
+++ b/src/lab/soak/fault_line.cpp
@@ -40,12 +40,12 @@
   }
   const std::size_t id = ++last_;
   pairs_[id].near = near;
-  near->set({{},
-             [this, id](std::string_view bytes) {
-               pairs_.at(id).to_far += bytes;
-               pass(id);
-             },
-             [this, id](const std::string&) { end(id, false); }});
+  near->set_handlers({{},
+                      [this, id](std::string_view bytes) {
+                        pairs_.at(id).to_far += bytes;
+                        pass(id);
+                      },
+                      [this, id](const std::string&) { end(id, false); }});
   if (open_late_s_ == 0) return open_far(id);
   loop_.after(open_late_s_, [this, id, alive = alive_] {
     if (!*alive) return;
@@ -59,12 +59,12 @@
   if (found == pairs_.end()) return;
   const auto far = net::Stream::connect(loop_, target_, kMostUnsent);
   found->second.far = far;
-  far->set({[this, id] { pass(id); },
-            [this, id](std::string_view bytes) {
-              pairs_.at(id).to_near += bytes;
-              pass(id);
-            },
-            [this, id](const std::string&) { end(id, false); }});
+  far->set_handlers({[this, id] { pass(id); },
+                     [this, id](std::string_view bytes) {
+                       pairs_.at(id).to_near += bytes;
+                       pass(id);
+                     },
+                     [this, id](const std::string&) { end(id, false); }});
 }
 
 void FaultLine::pass(std::size_t id) {
@@ -93,7 +93,7 @@
   pairs_.erase(found);
   for (const auto& stream : {pair.near, pair.far}) {
     if (stream == nullptr) continue;
-    stream->set({});
+    stream->set_handlers({});
     if (hard) {
       stream->reset();
     } else {
--- a/src/list/client.cpp
+++ b/src/list/client.cpp
@@ -40,14 +40,14 @@
   } catch (const std::exception&) {
     return failed("no descriptor is to be had");
   }
-  stream_->set({[this] {
-                  std::string request = "GET " + path_ + " HTTP/1.1\r\nHost: " + server_.str() +
-                                        "\r\nAccept: text/event-stream\r\nCache-Control: no-store\r\n";
-                  if (!sse_.last_id().empty()) request += "Last-Event-ID: " + sse_.last_id() + "\r\n";
-                  stream_->write(request + "\r\n");
-                },
-                [this](std::string_view bytes) { received(bytes); },
-                [this](const std::string& why) { failed(why); }});
+  stream_->set_handlers(
+      {[this] {
+         std::string request = "GET " + path_ + " HTTP/1.1\r\nHost: " + server_.str() +
+                               "\r\nAccept: text/event-stream\r\nCache-Control: no-store\r\n";
+         if (!sse_.last_id().empty()) request += "Last-Event-ID: " + sse_.last_id() + "\r\n";
+         stream_->write(request + "\r\n");
+       },
+       [this](std::string_view bytes) { received(bytes); }, [this](const std::string& why) { failed(why); }});
   note_alive();
 }
 
--- a/src/membership/async_store.cpp
+++ b/src/membership/async_store.cpp
@@ -7,12 +7,12 @@
 
 namespace mintrock::membership {
 
-Change merged(Change first, Change then) {
+Change merge_changes(Change first, Change then) {
   if (then.full) return then;
   std::set<std::string> named;
-  for (const KeptEntry& each : then.entries) named.insert(each.identity);
+  for (const StoredEntry& each : then.entries) named.insert(each.identity);
   for (const std::string& each : then.removed) named.insert(each);
-  for (KeptEntry& each : first.entries) {
+  for (StoredEntry& each : first.entries) {
     if (named.count(each.identity) == 0) then.entries.push_back(std::move(each));
   }
   for (std::string& each : first.removed) {
@@ -22,8 +22,8 @@
   return then;
 }
 
-Keeper::Keeper(const std::string& path, Store::Durability durability,
-               std::function<void(const std::string&)> fault)
+AsyncStore::AsyncStore(const std::string& path, Store::Durability durability,
+                       std::function<void(const std::string&)> fault)
     : fault_(std::move(fault)) {
   const auto open = [&] {
     store_ = std::make_unique<Store>(path, durability);
@@ -32,17 +32,17 @@
   try {
     open();
   } catch (const StoreError& error) {
-    if (error.kind() != StoreError::Kind::kDamaged) throw;
+    if (error.kind() != StoreError::Kind::kCorrupt) throw;
     store_.reset();
     if (!Store::set_aside(path)) throw;
     fault_(std::string(error.what()) + "; set aside, begun anew");
     open();
   }
-  for (const std::string& each : loaded_.dropped) fault_(path + ": " + each);
+  for (const std::string& each : loaded_.errors) fault_(path + ": " + each);
   thread_ = std::thread([this] { run_writer(); });
 }
 
-Keeper::~Keeper() {
+AsyncStore::~AsyncStore() {
   {
     const std::lock_guard<std::mutex> lock(mutex_);
     ending_ = true;
@@ -51,15 +51,15 @@
   thread_.join();
 }
 
-void Keeper::write(Change change) {
+void AsyncStore::write(Change change) {
   {
     const std::lock_guard<std::mutex> lock(mutex_);
-    waiting_ = waiting_ ? merged(std::move(*waiting_), std::move(change)) : std::move(change);
+    waiting_ = waiting_ ? merge_changes(std::move(*waiting_), std::move(change)) : std::move(change);
   }
   work_.notify_one();
 }
 
-void Keeper::run_writer() {
+void AsyncStore::run_writer() {
   std::string last;
   std::unique_lock<std::mutex> lock(mutex_);
   for (;;) {
--- a/src/membership/async_store.hpp
+++ b/src/membership/async_store.hpp
@@ -18,18 +18,18 @@
 namespace mintrock::membership {
 
 // What two changes, one after the other, come to. Pure.
-Change merged(Change first, Change then);
+Change merge_changes(Change first, Change then);
 
-class Keeper {
+class AsyncStore {
  public:
   // Throws StoreError if the store can't be had; one that is damaged is set aside, told, and begun anew.
-  Keeper(const std::string& path, Store::Durability durability,
-         std::function<void(const std::string&)> fault);
+  AsyncStore(const std::string& path, Store::Durability durability,
+             std::function<void(const std::string&)> fault);
   // What waits is written first.
-  ~Keeper();
-  Keeper(const Keeper&) = delete;
+  ~AsyncStore();
+  AsyncStore(const AsyncStore&) = delete;
 
-  const Loaded& loaded() const { return loaded_; }  // as it was at the start
+  const StoredList& loaded() const { return loaded_; }  // as it was at the start
   void write(Change change);
 
  private:
@@ -37,7 +37,7 @@
 
   std::function<void(const std::string&)> fault_;
   std::unique_ptr<Store> store_;
-  Loaded loaded_;
+  StoredList loaded_;
   std::mutex mutex_;
   std::condition_variable work_;
   std::optional<Change> waiting_;
--- a/src/membership/store.cpp
+++ b/src/membership/store.cpp
@@ -13,7 +13,7 @@
 
 constexpr int kApplication = 0x4D744C73;  // marks the file as ours (PRAGMA application_id)
 
-auto fields(const KeptEntry& e) {
+auto fields(const StoredEntry& e) {
   return std::tie(e.identity, e.address, e.node, e.kind, e.weight, e.state, e.started_at, e.first_confirmed,
                   e.last_confirmed, e.source, e.answered_share, e.delay_s);
 }
@@ -31,7 +31,7 @@
   return static_cast<std::int64_t>(XXH3_64bits(bytes.data(), bytes.size()));
 }
 
-std::int64_t hash_of(const KeptEntry& e) {
+std::int64_t hash_of(const StoredEntry& e) {
   std::string out;
   add(out, e.identity);
   add(out, e.address);
@@ -44,7 +44,7 @@
 }
 
 // The whole: its head, and the sum of its rows, so that a row more or less is noticed.
-std::int64_t hash_of(const Loaded& all, std::uint64_t rows) {
+std::int64_t hash_of(const StoredList& all, std::uint64_t rows) {
   std::string out;
   add(out, std::to_string(all.revision));
   add(out, all.wall);
@@ -54,7 +54,7 @@
   return hash(out);
 }
 
-bool sane(const KeptEntry& e) {
+bool sane(const StoredEntry& e) {
   bool good = !e.identity.empty() && e.identity.size() <= 255 && e.address.size() <= 255;
   for (const char c : e.identity) good = good && c > ' ' && c <= '~';
   for (const double each : {e.weight, e.started_at, e.first_confirmed, e.last_confirmed, e.delay_s}) {
@@ -65,7 +65,7 @@
 
 }  // namespace
 
-bool KeptEntry::operator==(const KeptEntry& other) const { return fields(*this) == fields(other); }
+bool StoredEntry::operator==(const StoredEntry& other) const { return fields(*this) == fields(other); }
 
 struct Store::Database {
   sqlite3* handle = nullptr;
@@ -76,9 +76,9 @@
     using Kind = StoreError::Kind;
     const int primary = code & 0xFF;
     const Kind kind = primary == SQLITE_BUSY || primary == SQLITE_LOCKED           ? Kind::kBusy
-                      : primary == SQLITE_CORRUPT || primary == SQLITE_NOTADB      ? Kind::kDamaged
-                      : primary == SQLITE_SCHEMA || primary == SQLITE_ERROR        ? Kind::kDamaged
-                      : primary == SQLITE_CONSTRAINT || primary == SQLITE_MISMATCH ? Kind::kDamaged
+                      : primary == SQLITE_CORRUPT || primary == SQLITE_NOTADB      ? Kind::kCorrupt
+                      : primary == SQLITE_SCHEMA || primary == SQLITE_ERROR        ? Kind::kCorrupt
+                      : primary == SQLITE_CONSTRAINT || primary == SQLITE_MISMATCH ? Kind::kCorrupt
                                                                                    : Kind::kNoAccess;
     throw StoreError(kind, path + ": " + (handle != nullptr ? sqlite3_errmsg(handle) : sqlite3_errstr(code)));
   }
@@ -160,12 +160,12 @@
     db_->run(("PRAGMA application_id = " + std::to_string(kApplication)).c_str());
     db_->run(("PRAGMA user_version = " + std::to_string(kVersion)).c_str());
   } else if (application != kApplication) {
-    throw StoreError(StoreError::Kind::kDamaged, path + ": is no store of a list");
+    throw StoreError(StoreError::Kind::kCorrupt, path + ": is no store of a list");
   } else if (version > kVersion) {
-    throw StoreError(StoreError::Kind::kLater, path + ": is of version " + std::to_string(version) +
-                                                   ", this program knows " + std::to_string(kVersion));
+    throw StoreError(StoreError::Kind::kNewerVersion, path + ": is of version " + std::to_string(version) +
+                                                          ", this program knows " + std::to_string(kVersion));
   } else if (version != kVersion) {
-    throw StoreError(StoreError::Kind::kDamaged, path + ": is of no known version");
+    throw StoreError(StoreError::Kind::kCorrupt, path + ": is of no known version");
   }
   db_->run("COMMIT");
 }
@@ -178,7 +178,7 @@
 }
 
 void Store::apply(const Change& change) {
-  for (const KeptEntry& e : change.entries) {
+  for (const StoredEntry& e : change.entries) {
     if (!sane(e)) throw std::invalid_argument("an entry of the list is no sane one: " + e.identity);
   }
   db_->run("BEGIN IMMEDIATE");
@@ -195,7 +195,7 @@
       done(remove);
     }
     Statement put(db_->handle, "INSERT OR REPLACE INTO entry VALUES (?,?,?,?,?,?,?,?,?,?,?,?,?)");
-    for (const KeptEntry& e : change.entries) {
+    for (const StoredEntry& e : change.entries) {
       put.bind(e.identity)
           .bind(e.address)
           .bind(static_cast<std::int64_t>(e.node))
@@ -215,10 +215,10 @@
     const int got = count.step();
     if (got != SQLITE_ROW) db_->fail(got);
     const auto rows = static_cast<std::uint64_t>(count.whole(0));
-    if (rows > kMostEntries)
-      throw std::length_error("the list has over " + std::to_string(kMostEntries) + " entries");
+    if (rows > kMaxEntries)
+      throw std::length_error("the list has over " + std::to_string(kMaxEntries) + " entries");
     count.reset();
-    Loaded head;
+    StoredList head;
     head.revision = change.revision;
     head.wall = change.wall;
     head.monotonic = change.monotonic;
@@ -238,8 +238,8 @@
   }
 }
 
-Loaded Store::load() const {
-  Loaded out;
+StoredList Store::load() const {
+  StoredList out;
   std::uint64_t rows = 0;
   Statement head(db_->handle, "SELECT revision, wall, monotonic, boot, rows, hash FROM head");
   int got = head.step();
@@ -251,8 +251,8 @@
     rows = static_cast<std::uint64_t>(head.whole(4));
     if (head.whole(5) != hash_of(out, rows)) {
       out = {};
-      out.whole = false;
-      out.dropped.emplace_back("the list's head is damaged: its age is not known");
+      out.intact = false;
+      out.errors.emplace_back("the list's head is damaged: its age is not known");
     }
   } else if (got != SQLITE_DONE) {
     db_->fail(got);
@@ -261,7 +261,7 @@
   std::uint64_t seen = 0;
   while ((got = read.step()) == SQLITE_ROW) {
     seen += 1;
-    KeptEntry e;
+    StoredEntry e;
     e.identity = read.text(0);
     e.address = read.text(1);
     e.node = static_cast<std::uint32_t>(read.whole(2));
@@ -278,15 +278,15 @@
     e.state = known ? static_cast<ServerEntry::State>(state) : ServerEntry::State::kGone;
     e.source = known ? static_cast<Source>(source) : Source::kList;
     if (!known || read.whole(12) != hash_of(e) || !sane(e)) {
-      out.whole = false;
-      out.dropped.push_back("row " + std::to_string(seen) + " is damaged");
+      out.intact = false;
+      out.errors.push_back("row " + std::to_string(seen) + " is damaged");
       continue;
     }
     out.entries.push_back(std::move(e));
-    if (seen > kMostEntries) break;
+    if (seen > kMaxEntries) break;
   }
   if (got != SQLITE_DONE && got != SQLITE_ROW) db_->fail(got);
-  if (seen != rows) out.whole = false;
+  if (seen != rows) out.intact = false;
   return out;
 }
 
--- a/src/membership/store.hpp
+++ b/src/membership/store.hpp
@@ -19,7 +19,7 @@
 namespace mintrock::membership {
 
 // One core server as it is kept. Times are seconds since the Unix epoch; 0: never, or long ago.
-struct KeptEntry {
+struct StoredEntry {
   std::string identity;  // 1 to 255 bytes, printable
   std::string address;
   std::uint32_t node = 0;
@@ -32,7 +32,7 @@
   Source source = Source::kList;
   double answered_share = 1;  // of this proxy's set-ups there lately; 0 to 1
   double delay_s = 0;         // of those that stood
-  bool operator==(const KeptEntry& other) const;
+  bool operator==(const StoredEntry& other) const;
 };
 
 // What one write brings.
@@ -42,27 +42,27 @@
   double monotonic = 0;        // the same on the monotonic clock, of the boot that `boot` names
   std::string boot;            // names the machine's boot; empty: not known
   bool full = false;           // entries that are not named are removed
-  std::vector<KeptEntry> entries;
+  std::vector<StoredEntry> entries;
   std::vector<std::string> removed;  // identities
 };
 
-struct Loaded {
+struct StoredList {
   std::uint64_t revision = 0;
   double wall = 0;
   double monotonic = 0;
   std::string boot;
-  std::vector<KeptEntry> entries;    // by identity
-  std::vector<std::string> dropped;  // damaged rows, one line each
-  bool whole = true;                 // nothing is missing and nothing was changed behind the store's back
+  std::vector<StoredEntry> entries;  // by identity
+  std::vector<std::string> errors;   // damaged rows, one line each
+  bool intact = true;                // nothing is missing and nothing was changed behind the store's back
 };
 
 class StoreError : public std::runtime_error {
  public:
   enum class Kind {
-    kNoAccess,  // cannot be read or written, the disk is full or read-only
-    kBusy,      // another process has it
-    kLater,     // written by a later version of the program
-    kDamaged    // no store, or one that cannot be read
+    kNoAccess,      // cannot be read or written, the disk is full or read-only
+    kBusy,          // another process has it
+    kNewerVersion,  // written by a later version of the program
+    kCorrupt        // no store, or one that cannot be read
   };
   StoreError(Kind kind, const std::string& what) : std::runtime_error(what), kind_(kind) {}
   Kind kind() const { return kind_; }
@@ -74,7 +74,7 @@
 class Store {
  public:
   static constexpr int kVersion = 1;
-  static constexpr std::size_t kMostEntries = 10000;  // a change that would bring more is refused whole
+  static constexpr std::size_t kMaxEntries = 10000;  // a change that would bring more is refused whole
 
   // kPowerCut: each change is on the disk when `apply` returns; kProcessCrash: in the system's hands.
   enum class Durability { kProcessCrash, kPowerCut };
@@ -89,7 +89,7 @@
   static bool set_aside(const std::string& path);
 
   void apply(const Change& change);  // whole, or throws StoreError and changes nothing
-  Loaded load() const;               // throws StoreError
+  StoredList load() const;           // throws StoreError
 
  private:
   struct Database;
--- a/src/membership/trust.cpp
+++ b/src/membership/trust.cpp
@@ -42,7 +42,7 @@
 
 }  // namespace
 
-Age age_of(double confirmed_wall, const Moment& kept, const Moment& now) {
+Age confirmation_age(double confirmed_wall, const ClockReading& kept, const ClockReading& now) {
   constexpr double kDrift = 5;  // s that a wall clock may be set back without meaning
   const double before = std::max(0.0, kept.wall - confirmed_wall);
   if (!kept.boot.empty() && kept.boot == now.boot && now.monotonic >= kept.monotonic) {
@@ -51,45 +51,45 @@
   return {before + std::max(0.0, now.wall - kept.wall), now.wall < kept.wall - kDrift};
 }
 
-Trust judge(const TrustSettings& settings, const Evidence& evidence) {
-  const double age = std::isnan(evidence.confirmed_age_s) || evidence.clock_doubtful
+Trust assess(const TrustSettings& settings, const Evidence& evidence) {
+  const double age = std::isnan(evidence.confirmed_age_s) || evidence.clock_unreliable
                          ? kVeryOld
                          : std::max(0.0, evidence.confirmed_age_s);
   double degree = halved(age, settings.half_life_s);
-  if (evidence.source == Source::kPeer) degree *= settings.peer_share;
+  if (evidence.source == Source::kPeer) degree *= settings.peer_factor;
   // Answers bring trust toward whole, however old the list; an answer fades as a confirmation does.
   if (evidence.answers > 0) {
     const double proven = (1 - std::pow(1 - settings.answer_gain, evidence.answers)) *
-                          halved(evidence.answered_age_s, settings.half_life_s);
+                          halved(evidence.last_answer_age_s, settings.half_life_s);
     degree += (1 - degree) * proven;
   }
-  degree *= std::pow(settings.refused_share, evidence.refusals);
+  degree *= std::pow(settings.refusal_factor, evidence.refusals);
   Trust out;
-  out.degree = std::clamp(degree, 0.0, 1.0);
-  out.approach = out.degree >= settings.warm_at ? Approach::kAsKept
-                 : out.degree >= settings.least ? Approach::kGently
-                                                : Approach::kLast;
-  out.as_cold = out.degree < settings.cold_below;
-  out.first_choice = out.degree >= settings.first_choice_at;
-  out.why = "confirmed by " + std::string(source_text(evidence.source)) + " " + age_text(age) + " ago";
-  if (evidence.clock_doubtful) out.why += ", the clock jumped";
-  if (evidence.answers > 0) out.why += ", answered " + std::to_string(evidence.answers) + " times";
-  if (evidence.refusals > 0) out.why += ", refused " + std::to_string(evidence.refusals) + " times";
+  out.score = std::clamp(degree, 0.0, 1.0);
+  out.usage = out.score >= settings.normal_threshold        ? Usage::kNormal
+              : out.score >= settings.last_resort_threshold ? Usage::kReduced
+                                                            : Usage::kLastResort;
+  out.report_as_cold = out.score < settings.cold_threshold;
+  out.first_choice = out.score >= settings.first_choice_threshold;
+  out.reason = "confirmed by " + std::string(source_text(evidence.source)) + " " + age_text(age) + " ago";
+  if (evidence.clock_unreliable) out.reason += ", the clock jumped";
+  if (evidence.answers > 0) out.reason += ", answered " + std::to_string(evidence.answers) + " times";
+  if (evidence.refusals > 0) out.reason += ", refused " + std::to_string(evidence.refusals) + " times";
   return out;
 }
 
-std::vector<ServerEntry> tell(const std::vector<Kept>& kept, Time now) {
-  const bool better = std::any_of(kept.begin(), kept.end(), [](const Kept& each) {
-    return each.entry.state == ServerEntry::State::kReady && each.trust.approach != Approach::kLast;
+std::vector<ServerEntry> cached_list_entries(const std::vector<AssessedEntry>& kept, Time now) {
+  const bool better = std::any_of(kept.begin(), kept.end(), [](const AssessedEntry& each) {
+    return each.entry.state == ServerEntry::State::kReady && each.trust.usage != Usage::kLastResort;
   });
   std::vector<ServerEntry> out;
   out.reserve(kept.size());
-  for (const Kept& each : kept) {
+  for (const AssessedEntry& each : kept) {
     ServerEntry entry = each.entry;
     if (entry.state == ServerEntry::State::kReady) {
-      if (each.trust.approach == Approach::kLast && better) continue;
-      if (each.trust.as_cold) entry.since = std::max(entry.since, now);
-      entry.weight *= std::max(kLeastWeight, each.trust.degree);
+      if (each.trust.usage == Usage::kLastResort && better) continue;
+      if (each.trust.report_as_cold) entry.since = std::max(entry.since, now);
+      entry.weight *= std::max(kLeastWeight, each.trust.score);
     }
     out.push_back(entry);
   }
--- a/src/net/loop.cpp
+++ b/src/net/loop.cpp
@@ -151,7 +151,7 @@
     flush_all();
   }
   const bool more = !deferred_.empty() || !to_flush_.empty();
-  const double wait = more ? 0.0 : std::clamp(timers_.next() - now(), 0.0, kLongestWait);
+  const double wait = more ? 0.0 : std::clamp(timers_.next_due() - now(), 0.0, kLongestWait);
   ev_now_update(loop_);
   ev_timer_stop(loop_, &timer_);
   ev_timer_set(&timer_, wait, 0.0);
@@ -327,7 +327,7 @@
   }
 }
 
-bool Stream::wrote_lately() const { return wrote_at_ >= 0 && loop_.now() < wrote_at_ + kFlushGrace; }
+bool Stream::wrote_recently() const { return wrote_at_ >= 0 && loop_.now() < wrote_at_ + kFlushGrace; }
 
 bool Stream::has_unread() const {
   char first = 0;
@@ -351,13 +351,13 @@
   begin_last_flush();
 }
 
-void Stream::end_writing() {
+void Stream::shutdown_write() {
   if (fd_ < 0 || closing_ || write_ended_) return;
   write_ended_ = true;
   if (unsent() == 0 && !connecting_) shutdown(fd_, SHUT_WR);
 }
 
-void Stream::finish() {
+void Stream::close_gracefully() {
   if (fd_ < 0 || last_flush_) return;
   lingering_ = true;
   begin_last_flush();
@@ -444,10 +444,10 @@
   ::close(fd_);
 }
 
-// ---- Datagrams ----
+// ---- DatagramSocket ----
 
-Datagrams::Datagrams(Loop& loop, const Address& at,
-                     std::function<void(std::string_view, Address)> on_datagram)
+DatagramSocket::DatagramSocket(Loop& loop, const Address& at,
+                               std::function<void(std::string_view, Address)> on_datagram)
     : loop_(loop), on_datagram_(std::move(on_datagram)) {
   fd_ = socket(AF_INET, SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
   if (fd_ < 0) fail_with("socket");
@@ -460,7 +460,7 @@
   }
   local_ = local_of(fd_);
   ev_init(&io_, [](struct ev_loop*, ev_io* w, int) {
-    Datagrams& self = *static_cast<Datagrams*>(w->data);
+    DatagramSocket& self = *static_cast<DatagramSocket*>(w->data);
     DatagramBuffer buffer;
     for (int i = 0; i < 64; ++i) {
       sockaddr_in from{};
@@ -477,12 +477,12 @@
   ev_io_start(loop_.raw(), &io_);
 }
 
-Datagrams::~Datagrams() {
+DatagramSocket::~DatagramSocket() {
   ev_io_stop(loop_.raw(), &io_);
   ::close(fd_);
 }
 
-void Datagrams::send(std::string_view bytes, const Address& to) {
+void DatagramSocket::send(std::string_view bytes, const Address& to) {
   const sockaddr_in address = to_sockaddr(to);
   sendto(fd_, bytes.data(), bytes.size(), MSG_NOSIGNAL, reinterpret_cast<const sockaddr*>(&address),
          sizeof address);
--- a/src/net/loop.hpp
+++ b/src/net/loop.hpp
@@ -50,13 +50,13 @@
   double now() const { return monotonic_now(); }
   Timers& timers() { return timers_; }
   TimerId after(double seconds, std::function<void()> fn) {
-    return timers_.at(now() + seconds, std::move(fn));
+    return timers_.schedule(now() + seconds, std::move(fn));
   }
   // Calls `fn` at the end of this turn: for what must not happen inside a callback of its own object.
   void defer(std::function<void()> fn) { deferred_.push_back(std::move(fn)); }
   void on_signal(int signal, std::function<void()> fn);
   // Streams that only their last bytes keep open.
-  std::size_t closing() const { return last_flushes_.size(); }
+  std::size_t closing_streams() const { return last_flushes_.size(); }
   struct ev_loop* raw() {
     return loop_;
   }
@@ -90,17 +90,17 @@
   static std::shared_ptr<Stream> adopt(Loop& loop, int fd, const Address& from, std::size_t max_unsent);
   ~Stream();
 
-  void set(Handlers handlers) { handlers_ = std::make_shared<const Handlers>(std::move(handlers)); }
+  void set_handlers(Handlers handlers) { handlers_ = std::make_shared<const Handlers>(std::move(handlers)); }
   void write(std::string_view bytes);
   void close();              // at once; what was not sent is lost
   void close_after_flush();  // once what was written has gone, or after a second
   // Nothing more is written; once what was has gone the other side is told so. Reading goes on until it
   // closes.
-  void end_writing();
+  void shutdown_write();
   // The same, and then waits for the other side to close too, for a second. What it still sends is left
   // unread, as it was never taken; a while after it came the connection is closed, which is a reset: sooner,
   // that may overtake what was written.
-  void finish();
+  void close_gracefully();
   // Bytes have arrived that were not read yet.
   bool has_unread() const;
   // Closes with a reset, as a process that dies does.
@@ -109,7 +109,7 @@
   int error() const { return error_; }  // the system's, once closed by a fault; 0: an orderly end
   std::size_t unsent() const { return out_.size() - out_at_; }
   // Something was handed to it so lately that the other side may not have read it yet.
-  bool wrote_lately() const;
+  bool wrote_recently() const;
   const Address& remote() const { return remote_; }
   Address local() const;
   void pause_reading(bool paused);
@@ -137,7 +137,7 @@
   bool closing_ = false;
   bool last_flush_ = false;  // the loop keeps this stream until what was written has gone
   bool write_ended_ = false;
-  bool lingering_ = false;  // finish() was called: it ends with the other side's close
+  bool lingering_ = false;  // close_gracefully() was called: it ends with the other side's close
   bool paused_ = false;
   double wrote_at_ = -1;  // when anything was handed to it last; below 0: never
   int error_ = 0;
@@ -169,10 +169,11 @@
   std::function<void(int, Address)> on_accept_;
 };
 
-class Datagrams {
+class DatagramSocket {
  public:
-  Datagrams(Loop& loop, const Address& at, std::function<void(std::string_view, Address from)> on_datagram);
-  ~Datagrams();
+  DatagramSocket(Loop& loop, const Address& at,
+                 std::function<void(std::string_view, Address from)> on_datagram);
+  ~DatagramSocket();
   void send(std::string_view bytes, const Address& to);  // may be lost
   Address local() const { return local_; }
 
--- a/src/net/timers.hpp
+++ b/src/net/timers.hpp
@@ -29,7 +29,7 @@
 class Timers {
  public:
   // Calls `fn` once, at the first `run` at or after `when` (seconds, monotonic).
-  TimerId at(double when, std::function<void()> fn) {
+  TimerId schedule(double when, std::function<void()> fn) {
     const TimerId id(when, ++last_);
     queue_.emplace(id, std::move(fn));
     return id;
@@ -52,7 +52,7 @@
     }
   }
 
-  double next() const {
+  double next_due() const {
     return queue_.empty() ? std::numeric_limits<double>::infinity() : queue_.begin()->first.when;
   }
   std::size_t size() const { return queue_.size(); }
--- a/src/platform/platform_edge.cpp
+++ b/src/platform/platform_edge.cpp
@@ -86,7 +86,7 @@
   config_.known.clear();
   open_bus();
   if (config_.has_peers && config_.instance.settings.tells_peers) {
-    datagrams_ = std::make_unique<net::Datagrams>(
+    datagrams_ = std::make_unique<net::DatagramSocket>(
         loop_, config_.peer_listen,
         [this](std::string_view bytes, net::Address from) { on_datagram(bytes, from); });
   }
@@ -109,7 +109,7 @@
   loop_.timers().cancel(std::exchange(timer_, 0));
   if (due == std::numeric_limits<double>::infinity()) return;
   timer_at_ = due;
-  timer_ = loop_.timers().at(due, [this] {
+  timer_ = loop_.timers().schedule(due, [this] {
     timer_ = 0;
     const double now = loop_.now();
     desk_.tick(now);
@@ -205,25 +205,26 @@
 // ---- Callers ----
 
 void PlatformEdge::on_accept(int fd, net::Address from) {
-  if (caller_streams_.size() + loop_.closing() >= budget_.callers) {
+  if (caller_streams_.size() + loop_.closing_streams() >= budget_.callers) {
     const ConnectionId spare = callers_.spare_connection();
     if (spare != 0) callers_.close_for_room(spare);
   }
   const auto stream = net::Stream::adopt(loop_, fd, from, kMostUnsent);
-  if (caller_streams_.size() + loop_.closing() >= budget_.callers) return stream->close();
+  if (caller_streams_.size() + loop_.closing_streams() >= budget_.callers) return stream->close();
   const ConnectionId id = ++last_connection_;
   caller_streams_[id] = stream;
-  stream->set({{},
-               [this, id](std::string_view bytes) {
-                 callers_.received(id, bytes, loop_.now());
-                 watch();
-               },
-               [this, id](const std::string& why) {
-                 log_event(info, "caller_lost", {{"connection", std::to_string(id)}, {"detail", why}});
-                 caller_streams_.erase(id);
-                 callers_.lost(id, loop_.now());
-                 watch();
-               }});
+  stream->set_handlers(
+      {{},
+       [this, id](std::string_view bytes) {
+         callers_.received(id, bytes, loop_.now());
+         watch();
+       },
+       [this, id](const std::string& why) {
+         log_event(info, "caller_lost", {{"connection", std::to_string(id)}, {"detail", why}});
+         caller_streams_.erase(id);
+         callers_.lost(id, loop_.now());
+         watch();
+       }});
   callers_.opened(id, loop_.now());
   watch();
 }
@@ -239,8 +240,8 @@
   const std::shared_ptr<net::Stream> stream = found->second;
   caller_streams_.erase(found);
   // A plain close wherever that loses nothing: a set-up that crosses it finds no connection, not an open one.
-  if (stream->wrote_lately()) {
-    stream->finish();
+  if (stream->wrote_recently()) {
+    stream->close_gracefully();
   } else {
     stream->close();
   }
@@ -383,22 +384,22 @@
     return id;
   }
   core_streams_[id] = {server, stream};
-  stream->set({[this, id, server] {
-                 if (CoreLinks* const at = links(server)) at->up(id, loop_.now());
-                 watch();
-               },
-               [this, id, server](std::string_view bytes) {
-                 if (CoreLinks* const at = links(server)) at->received(id, bytes, loop_.now());
-                 watch();
-               },
-               [this, id, server, raw = stream.get()](const std::string&) {
-                 const ConnectionLoss loss =
-                     raw->error() == ECONNREFUSED ? ConnectionLoss::kRefused : ConnectionLoss::kEnded;
-                 core_streams_.erase(id);
-                 if (CoreLinks* const at = links(server)) at->down(id, loss, loop_.now());
-                 sweep();
-                 watch();
-               }});
+  stream->set_handlers({[this, id, server] {
+                          if (CoreLinks* const at = links(server)) at->up(id, loop_.now());
+                          watch();
+                        },
+                        [this, id, server](std::string_view bytes) {
+                          if (CoreLinks* const at = links(server)) at->received(id, bytes, loop_.now());
+                          watch();
+                        },
+                        [this, id, server, raw = stream.get()](const std::string&) {
+                          const ConnectionLoss loss = raw->error() == ECONNREFUSED ? ConnectionLoss::kRefused
+                                                                                   : ConnectionLoss::kEnded;
+                          core_streams_.erase(id);
+                          if (CoreLinks* const at = links(server)) at->down(id, loss, loop_.now());
+                          sweep();
+                          watch();
+                        }});
   return id;
 }
 
@@ -417,7 +418,7 @@
 
 void PlatformEdge::retire_core(ConnectionId which) {
   const auto found = core_streams_.find(which);
-  if (found != core_streams_.end()) found->second.stream->end_writing();
+  if (found != core_streams_.end()) found->second.stream->shutdown_write();
 }
 
 void PlatformEdge::core_stood(const Attempt& who, std::string description, const Report& report) {
@@ -720,7 +721,7 @@
   }
   std::size_t owed = 0;
   for (const auto& [id, core] : cores_) owed += core.links->owed() + core.links->releases_in_doubt(now);
-  const bool callers_gone = leaving_ && callers_.connections() == 0 && loop_.closing() == 0;
+  const bool callers_gone = leaving_ && callers_.connections() == 0 && loop_.closing_streams() == 0;
   // An end that comes now can be told by the next process alone: nothing owed is worth its delay.
   const bool done = callers_gone && (owed == 0 || callers_.ends_waiting() > 0);
   constexpr double kLastBytes = 0.2;  // s for what was written last
--- a/src/platform/platform_edge.hpp
+++ b/src/platform/platform_edge.hpp
@@ -148,7 +148,7 @@
   std::deque<std::pair<double, std::uint64_t>> recent_order_;
   std::unordered_map<std::uint64_t, double> recent_;
   std::unique_ptr<net::Listener> listener_;
-  std::unique_ptr<net::Datagrams> datagrams_;
+  std::unique_ptr<net::DatagramSocket> datagrams_;
   std::unique_ptr<list::Client> bus_;
   net::TimerId timer_ = 0;
   double timer_at_ = 0;
--- a/tests/edge/edge_test.cpp
+++ b/tests/edge/edge_test.cpp
@@ -181,14 +181,14 @@
   void listen_list(net::Address at) {
     list = std::make_unique<net::Listener>(loop, at, [this](int fd, net::Address from) {
       auto stream = net::Stream::adopt(loop, fd, from, 1 << 20);
-      stream->set({{},
-                   [this, weak = std::weak_ptr<net::Stream>(stream)](std::string_view) {
-                     if (const auto s = weak.lock()) {
-                       s->write("HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n");
-                       s->write("data: " + news(1, true, state) + "\n\n");
-                     }
-                   },
-                   {}});
+      stream->set_handlers({{},
+                            [this, weak = std::weak_ptr<net::Stream>(stream)](std::string_view) {
+                              if (const auto s = weak.lock()) {
+                                s->write("HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n");
+                                s->write("data: " + news(1, true, state) + "\n\n");
+                              }
+                            },
+                            {}});
       watchers.push_back(std::move(stream));
     });
   }
@@ -548,12 +548,13 @@
   wait([&] { return caller.results["seen"].size() == 1; }, "it stands");
   std::string page;
   auto http = net::Stream::connect(loop, edge->admin_address(), 1 << 16);
-  http->set({[&] {
-               http->write(
-                   "GET /calls HTTP/1.1\r\nHost: x\r\n\r\nGET /healthz HTTP/1.1\r\nHost: x\r\n\r\n"
-                   "GET /metrics HTTP/1.1\r\nHost: x\r\n\r\nGET /none HTTP/1.1\r\nConnection: close\r\n\r\n");
-             },
-             [&](std::string_view bytes) { page += bytes; }, [&](const std::string&) { loop.stop(); }});
+  http->set_handlers(
+      {[&] {
+         http->write(
+             "GET /calls HTTP/1.1\r\nHost: x\r\n\r\nGET /healthz HTTP/1.1\r\nHost: x\r\n\r\n"
+             "GET /metrics HTTP/1.1\r\nHost: x\r\n\r\nGET /none HTTP/1.1\r\nConnection: close\r\n\r\n");
+       },
+       [&](std::string_view bytes) { page += bytes; }, [&](const std::string&) { loop.stop(); }});
   loop.run();
   EXPECT_NE(page.find("\"session\": \"seen\""), std::string::npos);
   EXPECT_NE(page.find("\"server\": \"core-0.test\""), std::string::npos);
@@ -587,12 +588,13 @@
   EXPECT_EQ(core.setups, 6) << "the same server again can't help";
   std::string page;
   auto http = net::Stream::connect(loop, edge->admin_address(), 1 << 16);
-  http->set({[&] {
-               http->write(
-                   "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n"
-                   "GET /metrics HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n");
-             },
-             [&](std::string_view bytes) { page += bytes; }, [&](const std::string&) { loop.stop(); }});
+  http->set_handlers({[&] {
+                        http->write(
+                            "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n"
+                            "GET /metrics HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n");
+                      },
+                      [&](std::string_view bytes) { page += bytes; },
+                      [&](const std::string&) { loop.stop(); }});
   loop.run();
   EXPECT_NE(page.find("\"state\": \"a core server answers only errors\""), std::string::npos);
   EXPECT_NE(page.find("\"last_error\": 5001"), std::string::npos);
--- a/tests/lab/soak/core_server_test.cpp
+++ b/tests/lab/soak/core_server_test.cpp
@@ -56,7 +56,7 @@
       : watcher("7 over s-1\n", [&, at_its_end] { loop.defer([&, at_its_end] { at_its_end(server); }); }) {
     ledger.taken(kCall, 0, 1.0, loop.now());
     const auto edge = net::Stream::connect(loop, server.address(0), kMostUnsent);
-    edge->set({{}, [this](std::string_view bytes) { heard(bytes); }, {}});
+    edge->set_handlers({{}, [this](std::string_view bytes) { heard(bytes); }, {}});
     edge->write(platform::write_core_setup(kCall, "voice", "7", 1000, "offer"));
     loop.after(kPlayed, [this] { loop.stop(); });
     loop.run();
--- a/tests/membership/store_test.cpp
+++ b/tests/membership/store_test.cpp
@@ -28,8 +28,8 @@
   void clean() const {
     for (const char* each : {"", "-journal", ".damaged"}) std::remove((path + each).c_str());
   }
-  static KeptEntry entry(int number, double confirmed = 1000) {
-    KeptEntry e;
+  static StoredEntry entry(int number, double confirmed = 1000) {
+    StoredEntry e;
     e.identity = "core-" + std::to_string(number) + ".test";
     e.address = "127.0.0.1:" + std::to_string(3000 + number);
     e.node = static_cast<std::uint32_t>(number);
@@ -72,7 +72,7 @@
 TEST_F(Kept, WhatIsKeptIsReadBack) {
   {
     Store store(path, Store::Durability::kPowerCut);
-    EXPECT_TRUE(store.load().whole);
+    EXPECT_TRUE(store.load().intact);
     EXPECT_TRUE(store.load().entries.empty());
     store.apply(change(7, 3));
     Change more = change(8, 0, false);
@@ -81,8 +81,8 @@
     more.removed = {"core-2.test"};
     store.apply(more);
   }
-  const Loaded back = Store(path, Store::Durability::kPowerCut).load();
-  EXPECT_TRUE(back.whole);
+  const StoredList back = Store(path, Store::Durability::kPowerCut).load();
+  EXPECT_TRUE(back.intact);
   EXPECT_EQ(back.revision, 8u);
   EXPECT_EQ(back.boot, "b");
   ASSERT_EQ(back.entries.size(), 2u);
@@ -96,11 +96,11 @@
   Change nonsense = change(2, 2);
   nonsense.entries[1].weight = std::numeric_limits<double>::quiet_NaN();
   EXPECT_THROW(store.apply(nonsense), std::invalid_argument);
-  EXPECT_THROW(store.apply(change(3, static_cast<int>(Store::kMostEntries) + 1)), std::length_error);
-  const Loaded back = store.load();
+  EXPECT_THROW(store.apply(change(3, static_cast<int>(Store::kMaxEntries) + 1)), std::length_error);
+  const StoredList back = store.load();
   EXPECT_EQ(back.revision, 1u);
   EXPECT_EQ(back.entries.size(), 3u);
-  EXPECT_TRUE(back.whole);
+  EXPECT_TRUE(back.intact);
 }
 
 // Cut anywhere, it is either refused by name, or what it still says is what was written.
@@ -111,11 +111,11 @@
   for (std::size_t size = 0; size < whole.size(); size += size < 200 ? 1 : 7) {
     put(whole.substr(0, size));
     try {
-      const Loaded back = Store(path, Store::Durability::kProcessCrash).load();
-      EXPECT_TRUE(back.entries.empty() || !back.whole) << size;
-      for (const KeptEntry& e : back.entries) EXPECT_EQ(e, entry(static_cast<int>(e.node), 7)) << size;
+      const StoredList back = Store(path, Store::Durability::kProcessCrash).load();
+      EXPECT_TRUE(back.entries.empty() || !back.intact) << size;
+      for (const StoredEntry& e : back.entries) EXPECT_EQ(e, entry(static_cast<int>(e.node), 7)) << size;
     } catch (const StoreError& error) {
-      EXPECT_EQ(error.kind(), StoreError::Kind::kDamaged) << size << ": " << error.what();
+      EXPECT_EQ(error.kind(), StoreError::Kind::kCorrupt) << size << ": " << error.what();
     }
   }
 }
@@ -130,12 +130,13 @@
     spoilt[at] = static_cast<char>(spoilt[at] ^ (1 << (random() % 8)));
     put(spoilt);
     try {
-      const Loaded back = Store(path, Store::Durability::kProcessCrash).load();
-      for (const KeptEntry& e : back.entries) EXPECT_EQ(e, entry(static_cast<int>(e.node), 7)) << at;
-      EXPECT_TRUE(back.revision == 7 || !back.whole || back.entries.empty()) << at;
-      EXPECT_TRUE(back.entries.size() == 4 || !back.whole || back.entries.empty()) << at;
+      const StoredList back = Store(path, Store::Durability::kProcessCrash).load();
+      for (const StoredEntry& e : back.entries) EXPECT_EQ(e, entry(static_cast<int>(e.node), 7)) << at;
+      EXPECT_TRUE(back.revision == 7 || !back.intact || back.entries.empty()) << at;
+      EXPECT_TRUE(back.entries.size() == 4 || !back.intact || back.entries.empty()) << at;
     } catch (const StoreError& error) {
-      EXPECT_TRUE(error.kind() == StoreError::Kind::kDamaged || error.kind() == StoreError::Kind::kLater ||
+      EXPECT_TRUE(error.kind() == StoreError::Kind::kCorrupt ||
+                  error.kind() == StoreError::Kind::kNewerVersion ||
                   error.kind() == StoreError::Kind::kNoAccess)
           << at << ": " << error.what();
     }
@@ -148,9 +149,9 @@
   ASSERT_EQ(sqlite3_open(path.c_str(), &db), SQLITE_OK);
   sqlite3_exec(db, "PRAGMA user_version = 2", nullptr, nullptr, nullptr);
   sqlite3_close(db);
-  EXPECT_EQ(fault(), StoreError::Kind::kLater);
+  EXPECT_EQ(fault(), StoreError::Kind::kNewerVersion);
   put(std::string(3000, 'x'));
-  EXPECT_EQ(fault(), StoreError::Kind::kDamaged);
+  EXPECT_EQ(fault(), StoreError::Kind::kCorrupt);
   EXPECT_TRUE(Store::set_aside(path));
   EXPECT_TRUE(Store(path, Store::Durability::kPowerCut).load().entries.empty())
       << "there is room for a new one";
@@ -182,36 +183,36 @@
   Change then = change(2, 0, false);
   then.entries = {entry(1, 9)};
   then.removed = {"core-0.test"};
-  const Change both = merged(first, then);
+  const Change both = merge_changes(first, then);
   EXPECT_TRUE(both.full);
   EXPECT_EQ(both.revision, 2u);
   Store store(path, Store::Durability::kProcessCrash);
   store.apply(both);
-  const Loaded back = store.load();
+  const StoredList back = store.load();
   ASSERT_EQ(back.entries.size(), 2u);
   EXPECT_EQ(back.entries[0], entry(1, 9));
   EXPECT_EQ(back.entries[1], entry(2, 1));
-  EXPECT_EQ(merged(then, change(3, 1)).entries.size(), 1u) << "a whole list is what counts";
+  EXPECT_EQ(merge_changes(then, change(3, 1)).entries.size(), 1u) << "a whole list is what counts";
 }
 
 TEST_F(Kept, TheKeeperWritesAllAndBeginsADamagedStoreAnew) {
   std::vector<std::string> faults;
   const auto fault = [&](const std::string& what) { faults.push_back(what); };
   {
-    Keeper keeper(path, Store::Durability::kPowerCut, fault);
-    for (std::uint64_t i = 1; i <= 200; ++i) keeper.write(change(i, 3));
+    AsyncStore async_store(path, Store::Durability::kPowerCut, fault);
+    for (std::uint64_t i = 1; i <= 200; ++i) async_store.write(change(i, 3));
   }
   EXPECT_TRUE(faults.empty());
   {
-    Keeper keeper(path, Store::Durability::kPowerCut, fault);
-    EXPECT_EQ(keeper.loaded().revision, 200u);
-    EXPECT_EQ(keeper.loaded().entries.size(), 3u);
+    AsyncStore async_store(path, Store::Durability::kPowerCut, fault);
+    EXPECT_EQ(async_store.loaded().revision, 200u);
+    EXPECT_EQ(async_store.loaded().entries.size(), 3u);
   }
   put(std::string(3000, 'x'));
-  Keeper keeper(path, Store::Durability::kPowerCut, fault);
+  AsyncStore async_store(path, Store::Durability::kPowerCut, fault);
   ASSERT_EQ(faults.size(), 1u);
   EXPECT_NE(faults[0].find("set aside"), std::string::npos);
-  EXPECT_TRUE(keeper.loaded().entries.empty());
+  EXPECT_TRUE(async_store.loaded().entries.empty());
 }
 
 // Killed at any moment while it writes, a store has the last change that was acknowledged or the one after
@@ -239,11 +240,11 @@
     for (std::uint64_t more = 0; read(pipes[0], &more, sizeof more) == ssize_t{sizeof more};) last = more;
     waitpid(pid, nullptr, 0);
     close(pipes[0]);
-    const Loaded back = Store(path, Store::Durability::kPowerCut).load();
-    EXPECT_TRUE(back.whole);
+    const StoredList back = Store(path, Store::Durability::kPowerCut).load();
+    EXPECT_TRUE(back.intact);
     EXPECT_TRUE(back.revision == last || back.revision == last + 1) << back.revision << " after " << last;
     EXPECT_EQ(back.entries.size(), 1 + back.revision % 7);
-    for (const KeptEntry& e : back.entries) {
+    for (const StoredEntry& e : back.entries) {
       EXPECT_EQ(e.last_confirmed, static_cast<double>(back.revision)) << "a mix of two changes";
     }
   }
--- a/tests/net/loop_test.cpp
+++ b/tests/net/loop_test.cpp
@@ -34,14 +34,14 @@
 TEST(Streams, CarryBytesBothWays) {
   Pair pair;
   std::string got;
-  pair.server->set(
+  pair.server->set_handlers(
       {{}, [&](std::string_view bytes) { pair.server->write("<" + std::string(bytes) + ">"); }, {}});
-  pair.client->set({{},
-                    [&](std::string_view bytes) {
-                      got += bytes;
-                      pair.loop.stop();
-                    },
-                    {}});
+  pair.client->set_handlers({{},
+                             [&](std::string_view bytes) {
+                               got += bytes;
+                               pair.loop.stop();
+                             },
+                             {}});
   pair.client->write("abc");
   pair.loop.run();
   EXPECT_EQ(got, "<abc>");
@@ -52,10 +52,10 @@
   Pair pair(100000);
   std::string why;
   pair.client->pause_reading(true);
-  pair.server->set({{}, {}, [&](const std::string& reason) {
-                      why = reason;
-                      pair.loop.stop();
-                    }});
+  pair.server->set_handlers({{}, {}, [&](const std::string& reason) {
+                               why = reason;
+                               pair.loop.stop();
+                             }});
   std::size_t most = 0;
   std::function<void()> more = [&] {
     pair.server->write(std::string(50000, 'x'));
@@ -73,16 +73,16 @@
   Pair pair(1000);
   std::size_t got = 0;
   std::string why;
-  pair.client->set({{},
-                    [&](std::string_view bytes) {
-                      got += bytes.size();
-                      if (got == 50000) pair.loop.stop();
-                    },
-                    {}});
-  pair.server->set({{}, {}, [&](const std::string& reason) {
-                      why = reason;
-                      pair.loop.stop();
-                    }});
+  pair.client->set_handlers({{},
+                             [&](std::string_view bytes) {
+                               got += bytes.size();
+                               if (got == 50000) pair.loop.stop();
+                             },
+                             {}});
+  pair.server->set_handlers({{}, {}, [&](const std::string& reason) {
+                               why = reason;
+                               pair.loop.stop();
+                             }});
   for (int i = 0; i < 100; ++i) pair.server->write(std::string(500, 'x'));
   pair.loop.run();
   EXPECT_EQ(why, "");
@@ -94,13 +94,13 @@
   Pair pair;
   std::string seen;
   const std::string captured = "captured, and long enough to live on the heap";
-  pair.server->set({{},
-                    [&, captured](std::string_view) {
-                      pair.server->close();
-                      seen = captured;
-                      pair.loop.stop();
-                    },
-                    {}});
+  pair.server->set_handlers({{},
+                             [&, captured](std::string_view) {
+                               pair.server->close();
+                               seen = captured;
+                               pair.loop.stop();
+                             },
+                             {}});
   pair.client->write("x");
   pair.loop.run();
   EXPECT_EQ(seen, captured);
@@ -114,10 +114,10 @@
   }
   std::string why;
   const auto stream = Stream::connect(loop, nobody, 1000);
-  stream->set({{}, {}, [&](const std::string& reason) {
-                 why = reason;
-                 loop.stop();
-               }});
+  stream->set_handlers({{}, {}, [&](const std::string& reason) {
+                          why = reason;
+                          loop.stop();
+                        }});
   loop.run();
   EXPECT_EQ(why, "Connection refused");
 }
@@ -125,7 +125,7 @@
 TEST(Streams, WhatWasWrittenLastStillGoesOut) {
   Pair pair;
   std::string got;
-  pair.client->set(
+  pair.client->set_handlers(
       {{}, [&](std::string_view bytes) { got += bytes; }, [&](const std::string&) { pair.loop.stop(); }});
   pair.server->write("last words");
   pair.server->close_after_flush();
@@ -160,8 +160,8 @@
   Wire answer(loop);
   Wire caller(loop);
   std::string order;
-  answer.stream->set({{}, [&](std::string_view) { order += "answer "; }, {}});
-  caller.stream->set({{}, {}, [&](const std::string&) { order += "closed "; }});
+  answer.stream->set_handlers({{}, [&](std::string_view) { order += "answer "; }, {}});
+  caller.stream->set_handlers({{}, {}, [&](const std::string&) { order += "closed "; }});
   answer.say("x");
   caller.hang_up();
   loop.after(0, [&] {
@@ -177,7 +177,7 @@
   Loop loop;
   Wire caller(loop);
   std::string order;
-  caller.stream->set({{}, {}, [&](const std::string&) { order += "closed "; }});
+  caller.stream->set_handlers({{}, {}, [&](const std::string&) { order += "closed "; }});
   Listener listener(loop, Address{}, [&](int fd, Address) {
     ::close(fd);
     order += "accepted";
@@ -196,12 +196,12 @@
   Wire wire(loop);
   std::string got;
   bool closed = false;
-  wire.stream->set({{},
-                    [&](std::string_view bytes) { got += bytes; },
-                    [&](const std::string&) {
-                      closed = true;
-                      loop.stop();
-                    }});
+  wire.stream->set_handlers({{},
+                             [&](std::string_view bytes) { got += bytes; },
+                             [&](const std::string&) {
+                               closed = true;
+                               loop.stop();
+                             }});
   wire.say("the answer");
   wire.hang_up();
   wire.stream->write("a set-up that meets nobody");
--- a/tests/net/timers_test.cpp
+++ b/tests/net/timers_test.cpp
@@ -10,10 +10,10 @@
 TEST(Timers, FireInOrderAndOnce) {
   Timers timers;
   std::vector<int> fired;
-  timers.at(2, [&] { fired.push_back(2); });
-  timers.at(1, [&] { fired.push_back(1); });
-  timers.at(1, [&] { fired.push_back(11); });
-  EXPECT_EQ(timers.next(), 1);
+  timers.schedule(2, [&] { fired.push_back(2); });
+  timers.schedule(1, [&] { fired.push_back(1); });
+  timers.schedule(1, [&] { fired.push_back(11); });
+  EXPECT_EQ(timers.next_due(), 1);
   timers.run(0.5);
   EXPECT_TRUE(fired.empty());
   timers.run(5);
@@ -25,7 +25,7 @@
 TEST(Timers, ACancelledOneIsGoneAtOnce) {
   Timers timers;
   for (int i = 0; i < 1000; ++i) {
-    const TimerId id = timers.at(1e6 + i, [] {});
+    const TimerId id = timers.schedule(1e6 + i, [] {});
     EXPECT_TRUE(timers.cancel(id));
     EXPECT_FALSE(timers.cancel(id));
   }
@@ -39,9 +39,9 @@
   int fired = 0;
   std::function<void()> again = [&] {
     fired += 1;
-    timers.at(0, again);
+    timers.schedule(0, again);
   };
-  timers.at(0, again);
+  timers.schedule(0, again);
   timers.run(1);
   EXPECT_EQ(fired, 1);
   timers.run(1);
@@ -52,8 +52,8 @@
   Timers timers;
   bool second = false;
   TimerId id = 0;
-  timers.at(1, [&] { timers.cancel(id); });
-  id = timers.at(1, [&] { second = true; });
+  timers.schedule(1, [&] { timers.cancel(id); });
+  id = timers.schedule(1, [&] { second = true; });
   timers.run(2);
   EXPECT_FALSE(second);
 }
--- a/tests/platform/platform_edge_test.cpp
+++ b/tests/platform/platform_edge_test.cpp
@@ -29,12 +29,13 @@
           streams.push_back(stream);
           cutters.emplace_back();
           const std::size_t place = streams.size() - 1;
-          stream->set({{},
-                       [this, place](std::string_view bytes) {
-                         cutters[place].feed(bytes);
-                         while (const auto line = cutters[place].next()) take(place, std::string(*line));
-                       },
-                       [this, place](const std::string&) { streams[place].reset(); }});
+          stream->set_handlers({{},
+                                [this, place](std::string_view bytes) {
+                                  cutters[place].feed(bytes);
+                                  while (const auto line = cutters[place].next())
+                                    take(place, std::string(*line));
+                                },
+                                [this, place](const std::string&) { streams[place].reset(); }});
         }) {}
   void take(std::size_t place, const std::string& line) {
     const json message = json::parse(line);
@@ -75,14 +76,15 @@
           streams.push_back(stream);
           requests.emplace_back();
           const std::size_t place = streams.size() - 1;
-          stream->set({{},
-                       [this, place](std::string_view bytes) {
-                         requests[place] += bytes;
-                         if (requests[place].find("\r\n\r\n") == std::string::npos) return;
-                         streams[place]->write(
-                             "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n: hello\n\n");
-                       },
-                       {}});
+          stream->set_handlers(
+              {{},
+               [this, place](std::string_view bytes) {
+                 requests[place] += bytes;
+                 if (requests[place].find("\r\n\r\n") == std::string::npos) return;
+                 streams[place]->write(
+                     "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n: hello\n\n");
+               },
+               {}});
         }) {}
   std::vector<std::shared_ptr<net::Stream>> streams;
   std::deque<std::string> requests;
@@ -92,15 +94,15 @@
 struct Caller {
   Caller(net::Loop& loop, const net::Address& to) : Caller(net::Stream::connect(loop, to, 1 << 20)) {}
   explicit Caller(std::shared_ptr<net::Stream> over) : stream(std::move(over)) {
-    stream->set({{},
-                 [this](std::string_view bytes) {
-                   cutter.feed(bytes);
-                   while (const auto message = cutter.next()) {
-                     got.push_back({message->type, message->call, read_cause(*message),
-                                    std::string(message->find(Parameter::kDescription))});
-                   }
-                 },
-                 [this](const std::string&) { closed = true; }});
+    stream->set_handlers({{},
+                          [this](std::string_view bytes) {
+                            cutter.feed(bytes);
+                            while (const auto message = cutter.next()) {
+                              got.push_back({message->type, message->call, read_cause(*message),
+                                             std::string(message->find(Parameter::kDescription))});
+                            }
+                          },
+                          [this](const std::string&) { closed = true; }});
   }
   void setup(std::uint64_t id, const char* service_class = "status", const char* left = "1500",
              const char* figures = "dest:0;width:1;via:-1", const char* description = "offer") {
@@ -196,7 +198,7 @@
            "\n\n";
   }
   net::Loop loop;
-  std::vector<std::unique_ptr<net::Datagrams>> datagrams;
+  std::vector<std::unique_ptr<net::DatagramSocket>> datagrams;
   Core core, second;
   Bus bus, new_bus;
   json config;
@@ -415,18 +417,18 @@
 // that all proxies share, and from their addresses alone.
 TEST(PlatformEdge, WaitsAreToldToOtherProxiesAndHeardFromThem) {
   std::vector<std::string> heard;
-  net::Datagrams* peer = nullptr;
-  net::Datagrams* stranger = nullptr;
+  net::DatagramSocket* peer = nullptr;
+  net::DatagramSocket* stranger = nullptr;
   net::Address own;
   Stage stage(256, [&](json& config, Stage& of) {
     net::Loop& loop = of.loop;
     const auto add = [&](std::function<void(std::string_view, net::Address)> fn) {
-      of.datagrams.push_back(std::make_unique<net::Datagrams>(loop, net::Address{}, std::move(fn)));
+      of.datagrams.push_back(std::make_unique<net::DatagramSocket>(loop, net::Address{}, std::move(fn)));
       return of.datagrams.back().get();
     };
     peer = add([&](std::string_view bytes, net::Address) { heard.emplace_back(bytes); });
     stranger = add([](std::string_view, net::Address) {});
-    own = net::Datagrams(loop, net::Address{}, [](std::string_view, net::Address) {}).local();
+    own = net::DatagramSocket(loop, net::Address{}, [](std::string_view, net::Address) {}).local();
     config["settings"]["fleet_size"] = 60;
     config["settings"]["me"] = 0;
     config["settings"]["limits"]["peers"] = true;
--- a/tests/platform/program_test.cpp
+++ b/tests/platform/program_test.cpp
@@ -95,13 +95,14 @@
         failed = false;
         cutter = MessageCutter();
         stream = net::Stream::connect(loop, address, 1 << 16);
-        stream->set({[&] { stream->write(write_message(CallerType::kTest, 5, {})); },
-                     [&](std::string_view bytes) {
-                       cutter.feed(bytes);
-                       const auto message = cutter.next();
-                       passed = passed || (message && message->type == 53 && read_cause(*message) == 1);
-                     },
-                     [&](const std::string&) { failed = true; }});
+        stream->set_handlers({[&] { stream->write(write_message(CallerType::kTest, 5, {})); },
+                              [&](std::string_view bytes) {
+                                cutter.feed(bytes);
+                                const auto message = cutter.next();
+                                passed =
+                                    passed || (message && message->type == 53 && read_cause(*message) == 1);
+                              },
+                              [&](const std::string&) { failed = true; }});
       }
       return passed;
     });
@@ -148,7 +149,7 @@
   std::vector<std::shared_ptr<net::Stream>> silent;
   for (int i = 0; i < 300; ++i) {
     silent.push_back(net::Stream::connect(program.loop, program.address, 1 << 16));
-    silent.back()->set({});
+    silent.back()->set_handlers({});
   }
   EXPECT_TRUE(program.passes_test());
 }
