--- a/src/net/timers.hpp
+++ b/src/net/timers.hpp
@@ -1,6 +1,7 @@
-// Timers of one loop: an ordered queue, from which a cancelled timer is gone at once.
+// The timers of one event loop, kept in a queue ordered by due time.
 //
-// Pure: times in, callbacks out. Bounded by what its users keep; nothing is left behind by a cancelled timer.
+// Pure: does no I/O and reads no clock. A cancelled timer is removed immediately, so the size is bounded by
+// the number of pending timers.
 #ifndef MINTROCK_SRC_NET_TIMERS_HPP_
 #define MINTROCK_SRC_NET_TIMERS_HPP_
 
@@ -12,10 +13,10 @@
 
 namespace mintrock::net {
 
-// Names one timer; the default, or 0, is none.
+// Identifies one timer. The default value and 0 mean no timer.
 struct TimerId {
   TimerId() = default;
-  TimerId(int) {}  // NOLINT: 0 is how none is written
+  TimerId(int) {}  // NOLINT: implicit, so that 0 can stand for no timer
   TimerId(double at, std::uint64_t number) : when(at), sequence(number) {}
   bool operator==(const TimerId& other) const { return sequence == other.sequence; }
   bool operator!=(const TimerId& other) const { return sequence != other.sequence; }
@@ -28,20 +29,20 @@
 
 class Timers {
  public:
-  // Calls `fn` once, at the first `run` at or after `when` (seconds, monotonic).
+  // Calls `fn` once, in the first `run` at or after `when` (seconds, monotonic).
   TimerId schedule(double when, std::function<void()> fn) {
-    const TimerId id(when, ++last_);
+    const TimerId id(when, ++last_sequence_);
     queue_.emplace(id, std::move(fn));
     return id;
   }
 
-  // True if it was still to come. 0 and ids that have fired are ignored.
+  // Returns true if the timer was pending. Ignores 0 and the ids of timers that have fired.
   bool cancel(TimerId id) { return queue_.erase(id) != 0; }
 
-  // Runs those due, earliest first. Those added meanwhile wait for the next run, even if due already: a timer
-  // that sets itself anew can't hold the loop.
+  // Runs the due timers, earliest first. Timers added meanwhile wait for the next run even if they are due,
+  // so a timer that reschedules itself cannot block the loop.
   void run(double now) {
-    const std::uint64_t newest = last_;
+    const std::uint64_t newest = last_sequence_;
     while (!queue_.empty() && queue_.begin()->first.when <= now) {
       auto first = queue_.begin();
       while (first != queue_.end() && first->first.sequence > newest) ++first;
@@ -59,7 +60,7 @@
 
  private:
   std::map<TimerId, std::function<void()>> queue_;
-  std::uint64_t last_ = 0;
+  std::uint64_t last_sequence_ = 0;
 };
 
 }  // namespace mintrock::net
--- a/tests/net/loop_test.cpp
+++ b/tests/net/loop_test.cpp
@@ -10,11 +10,12 @@
 namespace mintrock::net {
 namespace {
 
-struct Pair {
+// A client and a server stream that are connected to each other.
+struct StreamPair {
   Loop loop;
   std::shared_ptr<Stream> client, server;
   std::unique_ptr<Listener> listener;
-  explicit Pair(std::size_t max_unsent = 1 << 20) {
+  explicit StreamPair(std::size_t max_unsent = 1 << 20) {
     listener = std::make_unique<Listener>(loop, Address{}, [this, max_unsent](int fd, Address from) {
       server = Stream::adopt(loop, fd, from, max_unsent);
       loop.stop();
@@ -24,15 +25,15 @@
   }
 };
 
-TEST(Addresses, AreReadAndRejected) {
+TEST(Address, ParsesValidAndRejectsInvalidText) {
   EXPECT_EQ(parse_address("127.0.0.1:3868").str(), "127.0.0.1:3868");
   for (const char* bad : {"", "1.2.3.4", "1.2.3.4:", "1.2.3.4:65536", "1.2.3.4:-1", "host:1", "1.2.3.4:1x"}) {
     EXPECT_THROW(parse_address(bad), std::runtime_error) << bad;
   }
 }
 
-TEST(Streams, CarryBytesBothWays) {
-  Pair pair;
+TEST(Streams, TransferBytesInBothDirections) {
+  StreamPair pair;
   std::string got;
   pair.server->set_handlers(
       {{}, [&](std::string_view bytes) { pair.server->write("<" + std::string(bytes) + ">"); }, {}});
@@ -47,32 +48,33 @@
   EXPECT_EQ(got, "<abc>");
 }
 
-// Guards against unbounded memory: a peer that reads nothing is closed once its bound is passed.
-TEST(Streams, APeerThatReadsNothingIsClosed) {
-  Pair pair(100000);
-  std::string why;
+// Guards against unbounded memory: a stream whose peer does not read is closed when max_unsent is exceeded.
+TEST(Streams, CloseWhenThePeerDoesNotRead) {
+  StreamPair pair(100000);
+  std::string close_reason;
   pair.client->pause_reading(true);
   pair.server->set_handlers({{}, {}, [&](const std::string& reason) {
-                               why = reason;
+                               close_reason = reason;
                                pair.loop.stop();
                              }});
-  std::size_t most = 0;
-  std::function<void()> more = [&] {
+  std::size_t max_unsent = 0;
+  std::function<void()> write_more = [&] {
     pair.server->write(std::string(50000, 'x'));
-    most = std::max(most, pair.server->unsent());
-    if (pair.server->is_open()) pair.loop.defer(more);
+    max_unsent = std::max(max_unsent, pair.server->unsent());
+    if (pair.server->is_open()) pair.loop.defer(write_more);
   };
-  more();
+  write_more();
   pair.loop.run();
-  EXPECT_EQ(why, "the other side doesn't read");
-  EXPECT_LE(most, 150000u);
+  EXPECT_EQ(close_reason, "the remote side does not read");
+  EXPECT_LE(max_unsent, 150000u);
 }
 
-// The bound is for what the system won't take, not for what is written in one turn to a peer that reads.
-TEST(Streams, MuchInOneTurnIsNoPeerThatReadsNothing) {
-  Pair pair(1000);
+// max_unsent limits what the socket does not accept, not what is written in one iteration to a peer that
+// reads.
+TEST(Streams, StayOpenWhenMoreThanTheLimitIsWrittenInOneIteration) {
+  StreamPair pair(1000);
   std::size_t got = 0;
-  std::string why;
+  std::string close_reason;
   pair.client->set_handlers({{},
                              [&](std::string_view bytes) {
                                got += bytes.size();
@@ -80,20 +82,20 @@
                              },
                              {}});
   pair.server->set_handlers({{}, {}, [&](const std::string& reason) {
-                               why = reason;
+                               close_reason = reason;
                                pair.loop.stop();
                              }});
   for (int i = 0; i < 100; ++i) pair.server->write(std::string(500, 'x'));
   pair.loop.run();
-  EXPECT_EQ(why, "");
+  EXPECT_EQ(close_reason, "");
   EXPECT_EQ(got, 50000u);
 }
 
-// A handler that closes its own stream, or sets other handlers, goes on with what it captured.
-TEST(Streams, AHandlerMayCloseItsStream) {
-  Pair pair;
+// A handler that closes its own stream or replaces the handlers keeps its captured values while it runs.
+TEST(Streams, HandlerMayCloseItsStream) {
+  StreamPair pair;
   std::string seen;
-  const std::string captured = "captured, and long enough to live on the heap";
+  const std::string captured = "captured, and long enough to be allocated on the heap";
   pair.server->set_handlers({{},
                              [&, captured](std::string_view) {
                                pair.server->close();
@@ -106,47 +108,48 @@
   EXPECT_EQ(seen, captured);
 }
 
-TEST(Streams, ARefusedConnectionIsTold) {
+TEST(Streams, ReportARefusedConnection) {
   Loop loop;
-  Address nobody;
+  Address unused;  // nobody listens here
   {
-    nobody = Listener(loop, Address{}, [](int, Address) {}).local();
+    unused = Listener(loop, Address{}, [](int, Address) {}).local();
   }
-  std::string why;
-  const auto stream = Stream::connect(loop, nobody, 1000);
+  std::string close_reason;
+  const auto stream = Stream::connect(loop, unused, 1000);
   stream->set_handlers({{}, {}, [&](const std::string& reason) {
-                          why = reason;
+                          close_reason = reason;
                           loop.stop();
                         }});
   loop.run();
-  EXPECT_EQ(why, "Connection refused");
+  EXPECT_EQ(close_reason, "Connection refused");
 }
 
-TEST(Streams, WhatWasWrittenLastStillGoesOut) {
-  Pair pair;
+TEST(Streams, CloseAfterFlushSendsTheBufferedOutput) {
+  StreamPair pair;
   std::string got;
   pair.client->set_handlers(
       {{}, [&](std::string_view bytes) { got += bytes; }, [&](const std::string&) { pair.loop.stop(); }});
-  pair.server->write("last words");
+  pair.server->write("final output");
   pair.server->close_after_flush();
   pair.server.reset();
   pair.loop.run();
-  EXPECT_EQ(got, "last words");
+  EXPECT_EQ(got, "final output");
 }
 
-// One end of a connection on the loop, the other in the test's hand: what it writes is there at once.
-struct Wire {
-  explicit Wire(Loop& loop) {
+// A stream on the loop whose remote end is a plain socket of the test. What the test sends is readable at
+// once.
+struct RemoteEnd {
+  explicit RemoteEnd(Loop& loop) {
     int ends[2];
     if (socketpair(AF_UNIX, SOCK_STREAM | SOCK_NONBLOCK, 0, ends) != 0) std::abort();
     stream = Stream::adopt(loop, ends[0], Address{}, 1 << 20);
     other = ends[1];
   }
-  ~Wire() { hang_up(); }
-  void say(std::string_view bytes) const {
+  ~RemoteEnd() { close_remote(); }
+  void send(std::string_view bytes) const {
     ASSERT_EQ(::send(other, bytes.data(), bytes.size(), MSG_NOSIGNAL), static_cast<ssize_t>(bytes.size()));
   }
-  void hang_up() {
+  void close_remote() {
     if (other >= 0) ::close(other);
     other = -1;
   }
@@ -154,16 +157,17 @@
   int other = -1;
 };
 
-// An answer and the time-out it races, or a caller's close and the try it is to stop, in one turn.
-TEST(Turns, WhatHasArrivedIsReadBeforeTimersAct) {
+// An answer or a caller's close arrives in the same loop iteration in which a timer is due that it should
+// cancel.
+TEST(LoopIteration, ReadsInputBeforeTimersFire) {
   Loop loop;
-  Wire answer(loop);
-  Wire caller(loop);
+  RemoteEnd answer(loop);
+  RemoteEnd caller(loop);
   std::string order;
   answer.stream->set_handlers({{}, [&](std::string_view) { order += "answer "; }, {}});
   caller.stream->set_handlers({{}, {}, [&](const std::string&) { order += "closed "; }});
-  answer.say("x");
-  caller.hang_up();
+  answer.send("x");
+  caller.close_remote();
   loop.after(0, [&] {
     order += "timer";
     loop.stop();
@@ -172,10 +176,10 @@
   EXPECT_TRUE(order == "answer closed timer" || order == "closed answer timer") << order;
 }
 
-// Room is made by those that have gone before anybody else's connection is closed for it.
-TEST(Turns, WhatHasArrivedIsReadBeforeConnectionsAreAccepted) {
+// Closed connections free their slots first, so that no other connection is closed to make room.
+TEST(LoopIteration, ReadsInputBeforeAcceptingConnections) {
   Loop loop;
-  Wire caller(loop);
+  RemoteEnd caller(loop);
   std::string order;
   caller.stream->set_handlers({{}, {}, [&](const std::string&) { order += "closed "; }});
   Listener listener(loop, Address{}, [&](int fd, Address) {
@@ -184,72 +188,72 @@
     loop.stop();
   });
   Listener elsewhere(loop, Address{}, [](int fd, Address) { ::close(fd); });
-  const auto visitor = Stream::connect(loop, listener.local(), 1 << 10);
-  caller.hang_up();
+  const auto client = Stream::connect(loop, listener.local(), 1 << 10);
+  caller.close_remote();
   loop.run();
   EXPECT_EQ(order, "closed accepted");
 }
 
-// What came before the other side went is read, though writing to it fails first.
-TEST(Streams, AnAnswerBehindACloseIsReadThoughAWriteFails) {
+// Input that arrived before the remote side closed is read although a write fails first.
+TEST(Streams, ReadPendingInputWhenAWriteFails) {
   Loop loop;
-  Wire wire(loop);
+  RemoteEnd remote(loop);
   std::string got;
   bool closed = false;
-  wire.stream->set_handlers({{},
-                             [&](std::string_view bytes) { got += bytes; },
-                             [&](const std::string&) {
-                               closed = true;
-                               loop.stop();
-                             }});
-  wire.say("the answer");
-  wire.hang_up();
-  wire.stream->write("a set-up that meets nobody");
+  remote.stream->set_handlers({{},
+                               [&](std::string_view bytes) { got += bytes; },
+                               [&](const std::string&) {
+                                 closed = true;
+                                 loop.stop();
+                               }});
+  remote.send("the answer");
+  remote.close_remote();
+  remote.stream->write("a set-up that nobody reads");
   loop.run();
   EXPECT_EQ(got, "the answer");
   EXPECT_TRUE(closed);
 }
 
-TEST(Streams, WhatTheLastTurnWroteGoesOut) {
+TEST(Streams, SendTheOutputOfTheLastIteration) {
   Loop loop;
-  Wire wire(loop);
+  RemoteEnd remote(loop);
   loop.after(0, [&] {
-    wire.stream->write("bye");
+    remote.stream->write("bye");
     loop.stop();
   });
   loop.run();
   char buffer[8];
-  EXPECT_EQ(::recv(wire.other, buffer, sizeof buffer, 0), 3);
+  EXPECT_EQ(::recv(remote.other, buffer, sizeof buffer, 0), 3);
 }
 
-TEST(Listeners, TheBacklogIsTakenBeforeTheListenerGoes) {
+TEST(Listener, AcceptPendingTakesTheWholeBacklog) {
   Loop loop;
   int accepted = 0;
   Listener listener(loop, Address{}, [&](int fd, Address) {
     ::close(fd);
     accepted += 1;
   });
-  std::vector<std::shared_ptr<Stream>> visitors;
-  for (int i = 0; i < 200; ++i) visitors.push_back(Stream::connect(loop, listener.local(), 1 << 10));
-  listener.accept_pending();  // the loop has not turned once
+  std::vector<std::shared_ptr<Stream>> clients;
+  for (int i = 0; i < 200; ++i) clients.push_back(Stream::connect(loop, listener.local(), 1 << 10));
+  listener.accept_pending();  // the loop has not run yet
   EXPECT_EQ(accepted, 200);
 }
 
-TEST(Signals, OneHeldBackIsGivenToItsHandlerOnceItStands) {
-  sigset_t held;
-  sigemptyset(&held);
-  sigaddset(&held, SIGUSR1);
-  pthread_sigmask(SIG_BLOCK, &held, nullptr);
+TEST(Signals, PendingBlockedSignalIsDeliveredWhenItsHandlerIsSet) {
+  sigset_t blocked;
+  sigemptyset(&blocked);
+  sigaddset(&blocked, SIGUSR1);
+  pthread_sigmask(SIG_BLOCK, &blocked, nullptr);
   raise(SIGUSR1);
   Loop loop;
-  bool told = false;
+  bool delivered = false;
   loop.on_signal(SIGUSR1, [&] {
-    told = true;
+    delivered = true;
     loop.stop();
   });
   loop.after(5, [&] { loop.stop(); });
   loop.run();
-  EXPECT_TRUE(told);
+  EXPECT_TRUE(delivered);
 }
 
 }  // namespace
--- a/tests/net/timers_test.cpp
+++ b/tests/net/timers_test.cpp
@@ -21,8 +21,8 @@
   EXPECT_EQ(fired, (std::vector<int>{1, 11, 2}));
 }
 
-// Cancelled timers must not pile up: a call that is answered at once leaves none behind.
-TEST(Timers, ACancelledOneIsGoneAtOnce) {
+// Cancelled timers must not accumulate: a call that is answered at once leaves none behind.
+TEST(Timers, CancelledTimerIsRemovedImmediately) {
   Timers timers;
   for (int i = 0; i < 1000; ++i) {
     const TimerId id = timers.schedule(1e6 + i, [] {});
@@ -33,22 +33,22 @@
   EXPECT_FALSE(timers.cancel(0));
 }
 
-// A timer that sets itself anew for now must not hold the loop.
-TEST(Timers, OneThatSetsItselfAnewWaitsForTheNextRun) {
+// A timer that reschedules itself for the current time must not block the loop.
+TEST(Timers, RescheduledTimerWaitsForTheNextRun) {
   Timers timers;
   int fired = 0;
-  std::function<void()> again = [&] {
+  std::function<void()> reschedule = [&] {
     fired += 1;
-    timers.schedule(0, again);
+    timers.schedule(0, reschedule);
   };
-  timers.schedule(0, again);
+  timers.schedule(0, reschedule);
   timers.run(1);
   EXPECT_EQ(fired, 1);
   timers.run(1);
   EXPECT_EQ(fired, 2);
 }
 
-TEST(Timers, OneMayCancelAnotherThatIsDueInTheSameRun) {
+TEST(Timers, TimerMayCancelAnotherThatIsDueInTheSameRun) {
   Timers timers;
   bool second = false;
   TimerId id = 0;
