--- a/src/membership/async_store.cpp
+++ b/src/membership/async_store.cpp
@@ -7,24 +7,24 @@
 
 namespace mintrock::membership {
 
-Change merge_changes(Change first, Change then) {
-  if (then.full) return then;
+Change merge_changes(Change first, Change second) {
+  if (second.full) return second;
   std::set<std::string> named;
-  for (const StoredEntry& each : then.entries) named.insert(each.identity);
-  for (const std::string& each : then.removed) named.insert(each);
+  for (const StoredEntry& each : second.entries) named.insert(each.identity);
+  for (const std::string& each : second.removed) named.insert(each);
   for (StoredEntry& each : first.entries) {
-    if (named.count(each.identity) == 0) then.entries.push_back(std::move(each));
+    if (named.count(each.identity) == 0) second.entries.push_back(std::move(each));
   }
   for (std::string& each : first.removed) {
-    if (named.count(each) == 0) then.removed.push_back(std::move(each));
+    if (named.count(each) == 0) second.removed.push_back(std::move(each));
   }
-  then.full = first.full;
-  return then;
+  second.full = first.full;
+  return second;
 }
 
 AsyncStore::AsyncStore(const std::string& path, Store::Durability durability,
-                       std::function<void(const std::string&)> fault)
-    : fault_(std::move(fault)) {
+                       std::function<void(const std::string&)> on_error)
+    : on_error_(std::move(on_error)) {
   const auto open = [&] {
     store_ = std::make_unique<Store>(path, durability);
     loaded_ = store_->load();
@@ -35,45 +35,45 @@
     if (error.kind() != StoreError::Kind::kCorrupt) throw;
     store_.reset();
     if (!Store::set_aside(path)) throw;
-    fault_(std::string(error.what()) + "; set aside, begun anew");
+    on_error_(std::string(error.what()) + "; set aside and replaced by an empty store");
     open();
   }
-  for (const std::string& each : loaded_.errors) fault_(path + ": " + each);
+  for (const std::string& each : loaded_.errors) on_error_(path + ": " + each);
   thread_ = std::thread([this] { run_writer(); });
 }
 
 AsyncStore::~AsyncStore() {
   {
     const std::lock_guard<std::mutex> lock(mutex_);
-    ending_ = true;
+    stopping_ = true;
   }
-  work_.notify_one();
+  wake_writer_.notify_one();
   thread_.join();
 }
 
 void AsyncStore::write(Change change) {
   {
     const std::lock_guard<std::mutex> lock(mutex_);
-    waiting_ = waiting_ ? merge_changes(std::move(*waiting_), std::move(change)) : std::move(change);
+    pending_ = pending_ ? merge_changes(std::move(*pending_), std::move(change)) : std::move(change);
   }
-  work_.notify_one();
+  wake_writer_.notify_one();
 }
 
 void AsyncStore::run_writer() {
-  std::string last;
+  std::string last_error;
   std::unique_lock<std::mutex> lock(mutex_);
   for (;;) {
-    work_.wait(lock, [this] { return waiting_ || ending_; });
-    if (!waiting_) return;
-    const Change change = *std::exchange(waiting_, std::nullopt);
+    wake_writer_.wait(lock, [this] { return pending_ || stopping_; });
+    if (!pending_) return;
+    const Change change = *std::exchange(pending_, std::nullopt);
     lock.unlock();
     try {
       store_->apply(change);
-      last.clear();
+      last_error.clear();
     } catch (const std::exception& error) {
-      // A disk that is full fails each time: told once, until a write goes well again.
-      if (last != error.what()) fault_(error.what());
-      last = error.what();
+      // A full disk fails every write: the error is reported once, until a write succeeds.
+      if (last_error != error.what()) on_error_(error.what());
+      last_error = error.what();
     }
     lock.lock();
   }
--- a/src/membership/async_store.hpp
+++ b/src/membership/async_store.hpp
@@ -1,7 +1,8 @@
-// The store on a thread of its own, so that the loop never waits for a disk.
+// Runs the store on its own writer thread, so that the event loop never waits for the disk.
 //
-// What is to be kept is handed over and written in order; changes that come faster than the disk takes them
-// are merged, so at most one waits. Faults are told once each, by the callback, on the thread that writes.
+// Changes are written in the order in which they were passed. Changes that arrive faster than the disk
+// accepts them are merged, so at most one is pending. Errors are reported once each through a callback, which
+// runs on the writer thread.
 #ifndef MINTROCK_SRC_MEMBERSHIP_ASYNC_STORE_HPP_
 #define MINTROCK_SRC_MEMBERSHIP_ASYNC_STORE_HPP_
 
@@ -17,31 +18,32 @@
 
 namespace mintrock::membership {
 
-// What two changes, one after the other, come to. Pure.
-Change merge_changes(Change first, Change then);
+// Combines two consecutive changes into one. Pure.
+Change merge_changes(Change first, Change second);
 
 class AsyncStore {
  public:
-  // Throws StoreError if the store can't be had; one that is damaged is set aside, told, and begun anew.
+  // Throws StoreError if the store cannot be opened. A corrupt store is reported, set aside and replaced by
+  // an empty one.
   AsyncStore(const std::string& path, Store::Durability durability,
-             std::function<void(const std::string&)> fault);
-  // What waits is written first.
+             std::function<void(const std::string&)> on_error);
+  // Writes the pending change first.
   ~AsyncStore();
   AsyncStore(const AsyncStore&) = delete;
 
-  const StoredList& loaded() const { return loaded_; }  // as it was at the start
-  void write(Change change);
+  const StoredList& loaded() const { return loaded_; }  // the contents at start-up
+  void write(Change change);                            // returns without waiting for the disk
 
  private:
   void run_writer();
 
-  std::function<void(const std::string&)> fault_;
+  std::function<void(const std::string&)> on_error_;
   std::unique_ptr<Store> store_;
   StoredList loaded_;
   std::mutex mutex_;
-  std::condition_variable work_;
-  std::optional<Change> waiting_;
-  bool ending_ = false;
+  std::condition_variable wake_writer_;
+  std::optional<Change> pending_;
+  bool stopping_ = false;
   std::thread thread_;
 };
 
--- a/src/membership/store.hpp
+++ b/src/membership/store.hpp
@@ -1,10 +1,10 @@
-// The pool list as it is kept on disk for a start without it: every accepted change in one transaction, each
-// row and the whole checked when it is read back.
+// Stores the server list on disk, for a start without the list server. Every accepted change is one
+// transaction; each row and the list as a whole are verified when they are read back.
 //
-// On SQLite (docs/membership.md weighs it against LMDB and a log of its own): a change is there whole or not
-// at all, whenever the process dies. SQLite does not notice a flipped bit within a row; each row carries an
-// XXH3 of what it says, and so does the list as a whole, so that a damaged row is left out by name and never
-// believed. Calls block on the disk: they belong on a thread of their own, never on the loop.
+// Uses SQLite (docs/membership.md compares it with LMDB and a custom log), so a change is stored completely
+// or not at all, whenever the process dies. SQLite does not detect a flipped bit within a row. Therefore each
+// row carries an XXH3 hash of its fields, and so does the list as a whole; a corrupt row is reported and left
+// out. Calls block on the disk, so make them on a separate thread and never on the event loop.
 #ifndef MINTROCK_SRC_MEMBERSHIP_STORE_HPP_
 #define MINTROCK_SRC_MEMBERSHIP_STORE_HPP_
 
@@ -18,7 +18,7 @@
 
 namespace mintrock::membership {
 
-// One core server as it is kept. Times are seconds since the Unix epoch; 0: never, or long ago.
+// One core server as stored. Times are seconds since the Unix epoch; 0 means never or long ago.
 struct StoredEntry {
   std::string identity;  // 1 to 255 bytes, printable
   std::string address;
@@ -30,18 +30,18 @@
   double first_confirmed = 0;
   double last_confirmed = 0;
   Source source = Source::kList;
-  double answered_share = 1;  // of this proxy's set-ups there lately; 0 to 1
-  double delay_s = 0;         // of those that stood
+  double answered_share = 1;  // recent share of this proxy's set-ups that were answered; 0 to 1
+  double delay_s = 0;         // delay of those that were established
   bool operator==(const StoredEntry& other) const;
 };
 
-// What one write brings.
+// The contents of one write.
 struct Change {
-  std::uint64_t revision = 0;  // of the list; 0: of this proxy's own doing
-  double wall = 0;             // when, s since the Unix epoch
-  double monotonic = 0;        // the same on the monotonic clock, of the boot that `boot` names
-  std::string boot;            // names the machine's boot; empty: not known
-  bool full = false;           // entries that are not named are removed
+  std::uint64_t revision = 0;  // of the list; 0: the change comes from the proxy itself
+  double wall = 0;             // time of the change, s since the Unix epoch
+  double monotonic = 0;        // the same time on the monotonic clock of the boot that `boot` names
+  std::string boot;            // identifies the machine's boot; empty: unknown
+  bool full = false;           // a snapshot: entries that are not in it are removed
   std::vector<StoredEntry> entries;
   std::vector<std::string> removed;  // identities
 };
@@ -51,18 +51,18 @@
   double wall = 0;
   double monotonic = 0;
   std::string boot;
-  std::vector<StoredEntry> entries;  // by identity
-  std::vector<std::string> errors;   // damaged rows, one line each
-  bool intact = true;                // nothing is missing and nothing was changed behind the store's back
+  std::vector<StoredEntry> entries;  // ordered by identity
+  std::vector<std::string> errors;   // one line for each corrupt row or head
+  bool intact = true;                // nothing is missing or was modified outside the store
 };
 
 class StoreError : public std::runtime_error {
  public:
   enum class Kind {
-    kNoAccess,      // cannot be read or written, the disk is full or read-only
-    kBusy,          // another process has it
-    kNewerVersion,  // written by a later version of the program
-    kCorrupt        // no store, or one that cannot be read
+    kNoAccess,      // the file cannot be read or written, or the disk is full or read-only
+    kBusy,          // another process has the file open
+    kNewerVersion,  // written by a newer version of the program
+    kCorrupt        // the file is not a store, or its contents cannot be read
   };
   StoreError(Kind kind, const std::string& what) : std::runtime_error(what), kind_(kind) {}
   Kind kind() const { return kind_; }
@@ -74,21 +74,22 @@
 class Store {
  public:
   static constexpr int kVersion = 1;
-  static constexpr std::size_t kMaxEntries = 10000;  // a change that would bring more is refused whole
+  static constexpr std::size_t kMaxEntries = 10000;  // a change that exceeds this is refused completely
 
-  // kPowerCut: each change is on the disk when `apply` returns; kProcessCrash: in the system's hands.
+  // The failure that an applied change survives. kPowerCut: each change is on the disk when `apply` returns.
+  // kProcessCrash: the operating system has it.
   enum class Durability { kProcessCrash, kPowerCut };
 
-  // Opens a store for this process alone, or makes one; throws StoreError. One that is damaged is left as it
-  // is: `set_aside` makes room.
+  // Opens a store for exclusive use by this process, or creates one. Throws StoreError. A corrupt file is
+  // left as it is; call `set_aside` to make room for a new one.
   Store(const std::string& path, Durability durability);
   ~Store();
   Store(const Store&) = delete;
 
-  // Moves a damaged store to PATH.damaged (the one before it is lost); false if that can't be done.
+  // Renames a corrupt store to PATH.damaged, overwriting an earlier one. Returns false if that fails.
   static bool set_aside(const std::string& path);
 
-  void apply(const Change& change);  // whole, or throws StoreError and changes nothing
+  void apply(const Change& change);  // atomic: on an exception nothing is changed
   StoredList load() const;           // throws StoreError
 
  private:
--- a/src/membership/trust.cpp
+++ b/src/membership/trust.cpp
@@ -7,16 +7,17 @@
 namespace mintrock::membership {
 namespace {
 
-constexpr double kLeastWeight = 0.01;  // of the kept one: a server that nobody draws proves nothing
-constexpr double kVeryOld = 1e9;       // s
+// Minimum factor of the stored weight: a server that is never drawn gets no chance to answer.
+constexpr double kMinWeightFactor = 0.01;
+constexpr double kUnknownAge = 1e9;  // s; upper bound of ages, also stands for an unknown age
 
-std::string age_text(double seconds) {
+std::string format_age(double seconds) {
   char text[40];
   if (seconds < 120) {
     std::snprintf(text, sizeof text, "%.0f s", seconds);
   } else if (seconds < 7200) {
     std::snprintf(text, sizeof text, "%.0f min", seconds / 60);
-  } else if (seconds < kVeryOld) {
+  } else if (seconds < kUnknownAge) {
     std::snprintf(text, sizeof text, "%.0f h", seconds / 3600);
   } else {
     return "an unknown time";
@@ -24,7 +25,7 @@
   return text;
 }
 
-const char* source_text(Source source) {
+const char* source_name(Source source) {
   switch (source) {
     case Source::kList:
       return "the list";
@@ -36,32 +37,33 @@
   return "?";
 }
 
-double halved(double age_s, double half_life_s) {
-  return std::exp2(-std::clamp(age_s, 0.0, kVeryOld) / std::max(half_life_s, 1e-3));
+double decay(double age_s, double half_life_s) {
+  return std::exp2(-std::clamp(age_s, 0.0, kUnknownAge) / std::max(half_life_s, 1e-3));
 }
 
 }  // namespace
 
-Age confirmation_age(double confirmed_wall, const ClockReading& kept, const ClockReading& now) {
-  constexpr double kDrift = 5;  // s that a wall clock may be set back without meaning
-  const double before = std::max(0.0, kept.wall - confirmed_wall);
-  if (!kept.boot.empty() && kept.boot == now.boot && now.monotonic >= kept.monotonic) {
-    return {before + now.monotonic - kept.monotonic, false};
+Age confirmation_age(double confirmed_wall, const ClockReading& stored, const ClockReading& now) {
+  constexpr double kMaxClockStep = 5;  // s; a smaller step back of the wall clock is ignored
+  const double before = std::max(0.0, stored.wall - confirmed_wall);
+  if (!stored.boot.empty() && stored.boot == now.boot && now.monotonic >= stored.monotonic) {
+    return {before + now.monotonic - stored.monotonic, false};
   }
-  return {before + std::max(0.0, now.wall - kept.wall), now.wall < kept.wall - kDrift};
+  return {before + std::max(0.0, now.wall - stored.wall), now.wall < stored.wall - kMaxClockStep};
 }
 
 Trust assess(const TrustSettings& settings, const Evidence& evidence) {
   const double age = std::isnan(evidence.confirmed_age_s) || evidence.clock_unreliable
-                         ? kVeryOld
+                         ? kUnknownAge
                          : std::max(0.0, evidence.confirmed_age_s);
-  double degree = halved(age, settings.half_life_s);
+  double degree = decay(age, settings.half_life_s);
   if (evidence.source == Source::kPeer) degree *= settings.peer_factor;
-  // Answers bring trust toward whole, however old the list; an answer fades as a confirmation does.
+  // Answers raise trust toward 1 however old the list is. Their effect decays with the same half-life as a
+  // confirmation.
   if (evidence.answers > 0) {
-    const double proven = (1 - std::pow(1 - settings.answer_gain, evidence.answers)) *
-                          halved(evidence.last_answer_age_s, settings.half_life_s);
-    degree += (1 - degree) * proven;
+    const double answer_share = (1 - std::pow(1 - settings.answer_gain, evidence.answers)) *
+                                decay(evidence.last_answer_age_s, settings.half_life_s);
+    degree += (1 - degree) * answer_share;
   }
   degree *= std::pow(settings.refusal_factor, evidence.refusals);
   Trust out;
@@ -71,25 +73,25 @@
                                                             : Usage::kLastResort;
   out.report_as_cold = out.score < settings.cold_threshold;
   out.first_choice = out.score >= settings.first_choice_threshold;
-  out.reason = "confirmed by " + std::string(source_text(evidence.source)) + " " + age_text(age) + " ago";
-  if (evidence.clock_unreliable) out.reason += ", the clock jumped";
+  out.reason = "confirmed by " + std::string(source_name(evidence.source)) + " " + format_age(age) + " ago";
+  if (evidence.clock_unreliable) out.reason += ", the wall clock is unreliable";
   if (evidence.answers > 0) out.reason += ", answered " + std::to_string(evidence.answers) + " times";
   if (evidence.refusals > 0) out.reason += ", refused " + std::to_string(evidence.refusals) + " times";
   return out;
 }
 
-std::vector<ServerEntry> cached_list_entries(const std::vector<AssessedEntry>& kept, Time now) {
-  const bool better = std::any_of(kept.begin(), kept.end(), [](const AssessedEntry& each) {
+std::vector<ServerEntry> cached_list_entries(const std::vector<AssessedEntry>& stored, Time now) {
+  const bool has_better = std::any_of(stored.begin(), stored.end(), [](const AssessedEntry& each) {
     return each.entry.state == ServerEntry::State::kReady && each.trust.usage != Usage::kLastResort;
   });
   std::vector<ServerEntry> out;
-  out.reserve(kept.size());
-  for (const AssessedEntry& each : kept) {
+  out.reserve(stored.size());
+  for (const AssessedEntry& each : stored) {
     ServerEntry entry = each.entry;
     if (entry.state == ServerEntry::State::kReady) {
-      if (each.trust.usage == Usage::kLastResort && better) continue;
+      if (each.trust.usage == Usage::kLastResort && has_better) continue;
       if (each.trust.report_as_cold) entry.since = std::max(entry.since, now);
-      entry.weight *= std::max(kLeastWeight, each.trust.score);
+      entry.weight *= std::max(kMinWeightFactor, each.trust.score);
     }
     out.push_back(entry);
   }
--- a/tests/membership/store_test.cpp
+++ b/tests/membership/store_test.cpp
@@ -1,4 +1,4 @@
-// The kept list against what disks and processes do to it.
+// The stored list survives disk faults, concurrent processes and kills.
 #include "membership/store.hpp"
 
 #include <gtest/gtest.h>
@@ -21,10 +21,10 @@
 namespace mintrock::membership {
 namespace {
 
-class Kept : public ::testing::Test {
+class StoreTest : public ::testing::Test {
  protected:
-  Kept() : path(std::string(::testing::TempDir()) + "store-" + std::to_string(getpid())) { clean(); }
-  ~Kept() override { clean(); }
+  StoreTest() : path(std::string(::testing::TempDir()) + "store-" + std::to_string(getpid())) { clean(); }
+  ~StoreTest() override { clean(); }
   void clean() const {
     for (const char* each : {"", "-journal", ".damaged"}) std::remove((path + each).c_str());
   }
@@ -55,21 +55,23 @@
     clean();
     std::ofstream(path, std::ios::binary) << text;
   }
-  StoreError::Kind fault() const {
+  // Returns the kind of error with which the store fails to open or load.
+  StoreError::Kind open_error() const {
     try {
       Store(path, Store::Durability::kProcessCrash).load();
     } catch (const StoreError& error) {
-      EXPECT_NE(std::string(error.what()).find(path), std::string::npos) << "names the file";
+      EXPECT_NE(std::string(error.what()).find(path), std::string::npos)
+          << "the message does not name the file";
       return error.kind();
     }
-    ADD_FAILURE() << "opens";
+    ADD_FAILURE() << "no error";
     return StoreError::Kind::kBusy;
   }
 
   std::string path;
 };
 
-TEST_F(Kept, WhatIsKeptIsReadBack) {
+TEST_F(StoreTest, AppliedChangesAreReadBack) {
   {
     Store store(path, Store::Durability::kPowerCut);
     EXPECT_TRUE(store.load().intact);
@@ -90,12 +92,12 @@
   EXPECT_EQ(back.entries[1].state, ServerEntry::State::kDraining);
 }
 
-TEST_F(Kept, AChangeThatCannotBeTakenWholeChangesNothing) {
+TEST_F(StoreTest, RejectedChangeHasNoEffect) {
   Store store(path, Store::Durability::kProcessCrash);
   store.apply(change(1, 3));
-  Change nonsense = change(2, 2);
-  nonsense.entries[1].weight = std::numeric_limits<double>::quiet_NaN();
-  EXPECT_THROW(store.apply(nonsense), std::invalid_argument);
+  Change invalid = change(2, 2);
+  invalid.entries[1].weight = std::numeric_limits<double>::quiet_NaN();
+  EXPECT_THROW(store.apply(invalid), std::invalid_argument);
   EXPECT_THROW(store.apply(change(3, static_cast<int>(Store::kMaxEntries) + 1)), std::length_error);
   const StoredList back = store.load();
   EXPECT_EQ(back.revision, 1u);
@@ -103,13 +105,13 @@
   EXPECT_TRUE(back.intact);
 }
 
-// Cut anywhere, it is either refused by name, or what it still says is what was written.
-TEST_F(Kept, CutAtEveryByteNothingFalseIsRead) {
+// A file truncated at any byte is either rejected as corrupt, or yields only entries that were written.
+TEST_F(StoreTest, TruncatedFileYieldsNoFalseEntry) {
   { Store(path, Store::Durability::kPowerCut).apply(change(7, 4)); }
-  const std::string whole = bytes();
-  ASSERT_GT(whole.size(), 1000u);
-  for (std::size_t size = 0; size < whole.size(); size += size < 200 ? 1 : 7) {
-    put(whole.substr(0, size));
+  const std::string original = bytes();
+  ASSERT_GT(original.size(), 1000u);
+  for (std::size_t size = 0; size < original.size(); size += size < 200 ? 1 : 7) {
+    put(original.substr(0, size));
     try {
       const StoredList back = Store(path, Store::Durability::kProcessCrash).load();
       EXPECT_TRUE(back.entries.empty() || !back.intact) << size;
@@ -120,15 +122,15 @@
   }
 }
 
-// A flipped bit anywhere: no entry is believed that was not written.
-TEST_F(Kept, AFlippedBitIsNeverBelieved) {
+// With a bit flipped anywhere, no entry is accepted that was not written.
+TEST_F(StoreTest, FlippedBitYieldsNoFalseEntry) {
   { Store(path, Store::Durability::kPowerCut).apply(change(7, 4)); }
-  const std::string whole = bytes();
+  const std::string original = bytes();
   std::mt19937 random(5);
-  for (std::size_t at = 0; at < whole.size(); at += 3) {
-    std::string spoilt = whole;
-    spoilt[at] = static_cast<char>(spoilt[at] ^ (1 << (random() % 8)));
-    put(spoilt);
+  for (std::size_t at = 0; at < original.size(); at += 3) {
+    std::string corrupt = original;
+    corrupt[at] = static_cast<char>(corrupt[at] ^ (1 << (random() % 8)));
+    put(corrupt);
     try {
       const StoredList back = Store(path, Store::Durability::kProcessCrash).load();
       for (const StoredEntry& e : back.entries) EXPECT_EQ(e, entry(static_cast<int>(e.node), 7)) << at;
@@ -143,25 +145,25 @@
   }
 }
 
-TEST_F(Kept, ALaterVersionAnotherFileAndAFolderAreRefusedByName) {
+TEST_F(StoreTest, NewerVersionForeignFileAndFolderAreRejectedWithTheirKind) {
   { Store(path, Store::Durability::kPowerCut).apply(change(1, 1)); }
   sqlite3* db = nullptr;
   ASSERT_EQ(sqlite3_open(path.c_str(), &db), SQLITE_OK);
   sqlite3_exec(db, "PRAGMA user_version = 2", nullptr, nullptr, nullptr);
   sqlite3_close(db);
-  EXPECT_EQ(fault(), StoreError::Kind::kNewerVersion);
+  EXPECT_EQ(open_error(), StoreError::Kind::kNewerVersion);
   put(std::string(3000, 'x'));
-  EXPECT_EQ(fault(), StoreError::Kind::kCorrupt);
+  EXPECT_EQ(open_error(), StoreError::Kind::kCorrupt);
   EXPECT_TRUE(Store::set_aside(path));
   EXPECT_TRUE(Store(path, Store::Durability::kPowerCut).load().entries.empty())
-      << "there is room for a new one";
+      << "a new store can be created";
   clean();
   ASSERT_EQ(mkdir(path.c_str(), 0700), 0);
-  EXPECT_EQ(fault(), StoreError::Kind::kNoAccess);
+  EXPECT_EQ(open_error(), StoreError::Kind::kNoAccess);
   rmdir(path.c_str());
 }
 
-TEST_F(Kept, TwoProcessesCannotHaveOneStore) {
+TEST_F(StoreTest, SecondProcessCannotOpenTheStore) {
   Store store(path, Store::Durability::kPowerCut);
   store.apply(change(1, 1));
   const pid_t pid = fork();
@@ -178,46 +180,46 @@
   EXPECT_EQ(status, 0);
 }
 
-TEST_F(Kept, ChangesThatWaitTogetherComeToTheirSum) {
+TEST_F(StoreTest, MergedChangesEqualTheirSequence) {
   Change first = change(1, 3);
-  Change then = change(2, 0, false);
-  then.entries = {entry(1, 9)};
-  then.removed = {"core-0.test"};
-  const Change both = merge_changes(first, then);
-  EXPECT_TRUE(both.full);
-  EXPECT_EQ(both.revision, 2u);
+  Change second = change(2, 0, false);
+  second.entries = {entry(1, 9)};
+  second.removed = {"core-0.test"};
+  const Change merged = merge_changes(first, second);
+  EXPECT_TRUE(merged.full);
+  EXPECT_EQ(merged.revision, 2u);
   Store store(path, Store::Durability::kProcessCrash);
-  store.apply(both);
+  store.apply(merged);
   const StoredList back = store.load();
   ASSERT_EQ(back.entries.size(), 2u);
   EXPECT_EQ(back.entries[0], entry(1, 9));
   EXPECT_EQ(back.entries[1], entry(2, 1));
-  EXPECT_EQ(merge_changes(then, change(3, 1)).entries.size(), 1u) << "a whole list is what counts";
+  EXPECT_EQ(merge_changes(second, change(3, 1)).entries.size(), 1u) << "a snapshot replaces earlier changes";
 }
 
-TEST_F(Kept, TheKeeperWritesAllAndBeginsADamagedStoreAnew) {
-  std::vector<std::string> faults;
-  const auto fault = [&](const std::string& what) { faults.push_back(what); };
+TEST_F(StoreTest, AsyncStoreWritesAllChangesAndReplacesACorruptStore) {
+  std::vector<std::string> errors;
+  const auto on_error = [&](const std::string& what) { errors.push_back(what); };
   {
-    AsyncStore async_store(path, Store::Durability::kPowerCut, fault);
+    AsyncStore async_store(path, Store::Durability::kPowerCut, on_error);
     for (std::uint64_t i = 1; i <= 200; ++i) async_store.write(change(i, 3));
   }
-  EXPECT_TRUE(faults.empty());
+  EXPECT_TRUE(errors.empty());
   {
-    AsyncStore async_store(path, Store::Durability::kPowerCut, fault);
+    AsyncStore async_store(path, Store::Durability::kPowerCut, on_error);
     EXPECT_EQ(async_store.loaded().revision, 200u);
     EXPECT_EQ(async_store.loaded().entries.size(), 3u);
   }
   put(std::string(3000, 'x'));
-  AsyncStore async_store(path, Store::Durability::kPowerCut, fault);
-  ASSERT_EQ(faults.size(), 1u);
-  EXPECT_NE(faults[0].find("set aside"), std::string::npos);
+  AsyncStore async_store(path, Store::Durability::kPowerCut, on_error);
+  ASSERT_EQ(errors.size(), 1u);
+  EXPECT_NE(errors[0].find("set aside"), std::string::npos);
   EXPECT_TRUE(async_store.loaded().entries.empty());
 }
 
-// Killed at any moment while it writes, a store has the last change that was acknowledged or the one after
+// After a kill at any moment during a write, the store holds the last acknowledged change or the one after
 // it, never a mix.
-TEST_F(Kept, KilledWhileItWritesItHasOneChangeWhole) {
+TEST_F(StoreTest, KillDuringAWriteLeavesOneCompleteChange) {
   std::mt19937 random(9);
   for (int round = 0; round < 20; ++round) {
     clean();
@@ -233,7 +235,7 @@
       }
     }
     close(pipes[1]);
-    const unsigned after = 1 + random() % 40;  // acknowledged changes, then the kill comes at whatever moment
+    const unsigned after = 1 + random() % 40;  // acknowledged changes before the kill
     std::uint64_t last = 0;
     for (unsigned i = 0; i < after; ++i) ASSERT_EQ(read(pipes[0], &last, sizeof last), ssize_t{sizeof last});
     kill(pid, SIGKILL);
--- a/tests/membership/trust_test.cpp
+++ b/tests/membership/trust_test.cpp
@@ -1,4 +1,4 @@
-// Trust in kept entries: ages, sources, evidence; and what the Controller is told.
+// Trust in stored entries by age, source and evidence, and the entries that are passed to the Controller.
 #include "membership/trust.hpp"
 
 #include <gtest/gtest.h>
@@ -16,7 +16,7 @@
   return out;
 }
 
-TEST(Trust, FallsWithAgeAndChangesTheApproachOnTheWay) {
+TEST(Trust, DecreasesWithAgeAndChangesTheUsage) {
   const TrustSettings s;
   const Trust minute = assess(s, aged(kMinute));
   EXPECT_EQ(minute.usage, Usage::kNormal);
@@ -36,36 +36,36 @@
   }
 }
 
-TEST(Trust, NonsenseIsVeryOldAndAnEarlierNowIsNoAge) {
+TEST(Trust, InvalidAgeCountsAsVeryOldAndNegativeAgeAsZero) {
   const TrustSettings s;
   EXPECT_EQ(assess(s, aged(std::numeric_limits<double>::quiet_NaN())).usage, Usage::kLastResort);
   EXPECT_EQ(assess(s, aged(std::numeric_limits<double>::infinity())).usage, Usage::kLastResort);
   EXPECT_EQ(assess(s, aged(-kDay)).score, 1);
 }
 
-// The clock set back a day would make a day-old list look fresh.
-TEST(Trust, AClockThatJumpedMakesEveryAgeUnknown) {
+// A clock that is set back a day would make a day-old list look fresh.
+TEST(Trust, UnreliableClockMakesEveryAgeUnknown) {
   Evidence e = aged(1);
   e.clock_unreliable = true;
   EXPECT_EQ(assess(TrustSettings(), e).usage, Usage::kLastResort);
   EXPECT_NE(assess(TrustSettings(), e).reason.find("clock"), std::string::npos);
 }
 
-TEST(Trust, AgesGoByTheMonotonicClockWithinOneBootElseByTheWall) {
-  const ClockReading kept{1000000, 50, "a"};
-  EXPECT_EQ(confirmation_age(1000000 - 30, kept, {1000000 - kDay, 110, "a"}).seconds, 90)
-      << "the clock was set back";
-  EXPECT_EQ(confirmation_age(1000000 - 30, kept, {1000000 + 365 * kDay, 110, "a"}).seconds, 90)
-      << "or forward a year";
-  EXPECT_EQ(confirmation_age(1000000 - 30, kept, {1000000 + 60, 5, "b"}).seconds, 90);
-  EXPECT_FALSE(confirmation_age(1000000 - 30, kept, {1000000 + 60, 5, "b"}).unreliable);
-  EXPECT_TRUE(confirmation_age(1000000 - 30, kept, {1000000 - kDay, 5, "b"}).unreliable);
-  EXPECT_EQ(confirmation_age(1000000, kept, {1000000 + 365 * kDay, 5, "b"}).seconds, 365 * kDay)
-      << "too old: the safe side";
+TEST(Trust, AgeUsesTheMonotonicClockWithinOneBootAndElseTheWallClock) {
+  const ClockReading assessed{1000000, 50, "a"};
+  EXPECT_EQ(confirmation_age(1000000 - 30, assessed, {1000000 - kDay, 110, "a"}).seconds, 90)
+      << "the wall clock was set back";
+  EXPECT_EQ(confirmation_age(1000000 - 30, assessed, {1000000 + 365 * kDay, 110, "a"}).seconds, 90)
+      << "the wall clock was set forward a year";
+  EXPECT_EQ(confirmation_age(1000000 - 30, assessed, {1000000 + 60, 5, "b"}).seconds, 90);
+  EXPECT_FALSE(confirmation_age(1000000 - 30, assessed, {1000000 + 60, 5, "b"}).unreliable);
+  EXPECT_TRUE(confirmation_age(1000000 - 30, assessed, {1000000 - kDay, 5, "b"}).unreliable);
+  EXPECT_EQ(confirmation_age(1000000, assessed, {1000000 + 365 * kDay, 5, "b"}).seconds, 365 * kDay)
+      << "an age that is too high is the safe error";
   EXPECT_EQ(confirmation_age(1000000, {1000000, 50, ""}, {1000000 + 60, 5, ""}).seconds, 60);
 }
 
-TEST(Trust, GrowsWithAnswersAndFallsWithRefusals) {
+TEST(Trust, IncreasesWithAnswersAndDecreasesWithRefusals) {
   const TrustSettings s;
   Evidence e = aged(kDay);
   double before = assess(s, e).score;
@@ -75,16 +75,15 @@
     EXPECT_GT(degree, before);
     before = degree;
   }
-  EXPECT_EQ(assess(s, e).usage, Usage::kNormal) << "what answers is there, however old the list";
+  EXPECT_EQ(assess(s, e).usage, Usage::kNormal) << "a server that answers is trusted however old the list is";
   e.refusals = 2;
   EXPECT_LT(assess(s, e).score, before / 3);
   e.refusals = 0;
   e.last_answer_age_s = kDay;
-  EXPECT_EQ(assess(s, e).usage, Usage::kLastResort)
-      << "an answer of yesterday is as old as a list of yesterday";
+  EXPECT_EQ(assess(s, e).usage, Usage::kLastResort) << "an old answer counts no more than an old list";
 }
 
-TEST(Trust, APeersWordIsLessThanTheLists) {
+TEST(Trust, PeerConfirmationCountsLessThanTheLists) {
   Evidence e = aged(0);
   e.source = Source::kPeer;
   EXPECT_LT(assess(TrustSettings(), e).score, assess(TrustSettings(), aged(0)).score);
@@ -96,30 +95,32 @@
   out.state = state;
   return out;
 }
-AssessedEntry kept(ServerId id, double age, ServerEntry::State state = ServerEntry::State::kReady) {
+AssessedEntry assessed(ServerId id, double age, ServerEntry::State state = ServerEntry::State::kReady) {
   TrustSettings s;
   s.cold_threshold = s.normal_threshold;
   return {entry(id, state), assess(s, aged(age))};
 }
 
-TEST(Telling, ABelievedEntryIsAsItWasAnOlderOneAsJustStarted) {
-  const auto out = cached_list_entries({kept(1, 10), kept(2, kHour)}, 500);
+TEST(CachedListEntries, OldEntryIsReportedAsJustStartedBelowTheColdThreshold) {
+  const auto out = cached_list_entries({assessed(1, 10), assessed(2, kHour)}, 500);
   ASSERT_EQ(out.size(), 2u);
   EXPECT_EQ(out[0].since, 0);
   EXPECT_EQ(out[1].since, 500);
   EXPECT_LT(out[1].weight, out[0].weight);
 }
 
-TEST(Telling, OneThatIsTooOldIsLeftOutUnlessNoOtherIsReady) {
-  EXPECT_EQ(cached_list_entries({kept(1, kHour), kept(2, kDay)}, 0).size(), 1u);
-  const auto alone = cached_list_entries({kept(1, kHour, ServerEntry::State::kDraining), kept(2, kDay)}, 7);
+TEST(CachedListEntries, TooOldEntryIsLeftOutUnlessNoOtherIsReady) {
+  EXPECT_EQ(cached_list_entries({assessed(1, kHour), assessed(2, kDay)}, 0).size(), 1u);
+  const auto alone =
+      cached_list_entries({assessed(1, kHour, ServerEntry::State::kDraining), assessed(2, kDay)}, 7);
   ASSERT_EQ(alone.size(), 2u);
-  EXPECT_EQ(alone[1].since, 7) << "and then gently";
+  EXPECT_EQ(alone[1].since, 7) << "and is then reported as just started";
   EXPECT_GT(alone[1].weight, 0);
 }
 
-// Told as cold with no rate known, nearly every call of a whole warm-up was refused: only where it is wanted.
-TEST(Telling, NothingIsToldAsJustStartedUnlessTheSettingsSaySo) {
+// When servers were reported as cold and no rate was known, nearly every call was refused for a whole
+// warm-up. Therefore they are reported as cold only if the settings ask for it.
+TEST(CachedListEntries, NothingIsReportedAsJustStartedByDefault) {
   for (const double age : {kHour, kDay}) {
     const auto out = cached_list_entries({{entry(1), assess(TrustSettings(), aged(age))}}, 500);
     ASSERT_EQ(out.size(), 1u);
@@ -128,10 +129,11 @@
   }
 }
 
-// A kept drain must not be undone by its age.
-TEST(Telling, ADrainStaysADrainWhateverItsAge) {
+// The age of an entry must not undo a stored drain.
+TEST(CachedListEntries, DrainingEntryStaysDrainingWhateverItsAge) {
   for (const double age : {0.0, kHour, kDay}) {
-    const auto out = cached_list_entries({kept(1, 0), kept(2, age, ServerEntry::State::kDraining)}, 0);
+    const auto out =
+        cached_list_entries({assessed(1, 0), assessed(2, age, ServerEntry::State::kDraining)}, 0);
     ASSERT_EQ(out.size(), 2u);
     EXPECT_EQ(out[1].state, ServerEntry::State::kDraining);
   }
