--- a/src/config/yaml.hpp
+++ b/src/config/yaml.hpp
@@ -1,5 +1,5 @@
-// YAML settings, every key checked: types, ranges and units; unknown keys are rejected with file, line and
-// the nearest known name.
+// Reads YAML settings and checks the type, range and unit of every value. Unknown keys are rejected with
+// file, line and the most similar known key.
 #ifndef MINTROCK_SRC_CONFIG_YAML_HPP_
 #define MINTROCK_SRC_CONFIG_YAML_HPP_
 
@@ -14,14 +14,14 @@
 
 namespace mintrock::config {
 
-// "FILE:LINE: KEY: what is wrong", one line.
+// The message is one line: "FILE:LINE: KEY: DESCRIPTION".
 class Error : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
 
-// One mapping of a file. Each reader takes a key's value if it stands there, and notes the key as known;
-// `finish` rejects those that no reader asked for.
+// One mapping of a file. Each read function marks its key as known and sets `out` if the key is present;
+// `reject_unknown_keys` rejects the keys that no read function asked for. All throw Error.
 class Section {
  public:
   Section(std::string file, std::string path, YAML::Node node);
@@ -29,18 +29,19 @@
   bool has(const char* key) const;
   void read(const char* key, std::string& out);
   void read(const char* key, bool& out);
-  void read(const char* key, double& out, double least, double most);
-  void read(const char* key, std::uint32_t& out, std::uint32_t least, std::uint32_t most);
-  // A time with its unit: "800us", "250ms", "1.5s", "2m", "1h"; out in seconds.
-  void read_time(const char* key, double& out, double least_s, double most_s);
-  // One of the names, in order; `out` gets its place.
+  void read(const char* key, double& out, double min, double max);
+  void read(const char* key, std::uint32_t& out, std::uint32_t min, std::uint32_t max);
+  // Reads a duration with its unit, such as "800us", "250ms", "1.5s", "2m" or "1h", in seconds.
+  void read_time(const char* key, double& out, double min_s, double max_s);
+  // Reads one of `names` and sets `out` to its index.
   void read_choice(const char* key, const std::vector<std::string>& names, std::size_t& out);
   void read_list(const char* key, std::vector<std::string>& out);
   void read_numbers(const char* key, std::vector<std::uint32_t>& out);
-  // The mapping or the list of mappings under a key; `each` is called with it, and finished after it.
+  // Call `each` with the mapping, or with every mapping of the list, under a key, and then reject its unknown
+  // keys.
   void read_section(const char* key, const std::function<void(Section&)>& each);
   void read_sections(const char* key, const std::function<void(Section&)>& each);
-  // Marks a key as known whose value the caller reads by itself.
+  // Marks a key as known and returns its node, which the caller reads itself.
   YAML::Node raw_node(const char* key);
 
   void require(const char* key) const;
@@ -49,19 +50,19 @@
   const std::string& file() const { return file_; }
 
  private:
-  YAML::Node take(const char* key);
-  std::string text_of(const char* key, const YAML::Node& node) const;
-  double number_of(const char* key, const std::string& text, double least, double most) const;
+  YAML::Node find_and_mark_known(const char* key);
+  std::string scalar_text(const char* key, const YAML::Node& node) const;
+  double parse_in_range(const char* key, const std::string& text, double min, double max) const;
   std::string file_;
   std::string path_;
   YAML::Node node_;
-  std::set<std::string> known_;
+  std::set<std::string> known_keys_;
 };
 
-// Loads a file's top mapping; throws Error naming file and line.
+// Loads the top-level mapping of a file. Throws Error that names the file and line.
 Section load(const std::string& file);
 
-// Reads a time with its unit; throws std::runtime_error.
+// Parses a duration with its unit, in seconds. Throws std::runtime_error.
 double parse_time(const std::string& text);
 
 }  // namespace mintrock::config
