--- a/src/edge/admin.cpp
+++ b/src/edge/admin.cpp
@@ -97,7 +97,7 @@
       }
     }
   };
-  connection.stream->set(std::move(handlers));
+  connection.stream->set_handlers(std::move(handlers));
   connection.timer = loop_.after(kIdleTimeout, [this, id] { drop(id); });
   connections_[id] = std::move(owned);
 }
--- a/src/edge/call_manager.cpp
+++ b/src/edge/call_manager.cpp
@@ -58,7 +58,7 @@
   Call& call = calls_[id];
   call.offered_at = now;
   call.overdue_timer =
-      timers_.at(now + request.ttl_s, [this, id] {  // small capture: std::function does not allocate
+      timers_.schedule(now + request.ttl_s, [this, id] {  // small capture: std::function does not allocate
         const auto found = calls_.find(id);
         if (found == calls_.end()) return;
         found->second.overdue_timer = 0;
@@ -87,8 +87,8 @@
   call.attempt_sent_at = now;
   call.state = View::State::kInFlight;
   counters_.attempts += 1;
-  call.give_up_timer =
-      timers_.at(now + action.give_up_after_s, [this, id = action.call, attempt] { give_up(id, attempt); });
+  call.give_up_timer = timers_.schedule(now + action.give_up_after_s,
+                                  [this, id = action.call, attempt] { give_up(id, attempt); });
   const SendResult send_result =
       delegate_.send_setup(action.call, attempt, action.server, action.give_up_after_s);
   if (send_result == SendResult::kAccepted) return;
@@ -301,7 +301,7 @@
 
 void CallManager::execute(const SetTimer& action, double now) {
   const double due = now + action.after_s;
-  timers_.at(due, [this, token = action.token] { process(timer_now_, TimerFired{token}); });
+  timers_.schedule(due, [this, token = action.token] { process(timer_now_, TimerFired{token}); });
 }
 
 void CallManager::execute(const Subscribe&, double) { delegate_.subscribe(); }
--- a/src/edge/call_manager.hpp
+++ b/src/edge/call_manager.hpp
@@ -125,7 +125,7 @@
     timer_now_ = now;
     timers_.run(now);
   }
-  double deadline() const { return timers_.next(); }
+  double deadline() const { return timers_.next_due(); }
 
   // A snapshot of a call, for the admin interface.
   struct View {
--- a/src/edge/config.cpp
+++ b/src/edge/config.cpp
@@ -89,13 +89,13 @@
   Config out;
   Settings& s = out.settings;
   top.require("node");
-  top.section("node", [&](config::Section& from) {
+  top.read_section("node", [&](config::Section& from) {
     read_identity(from, "identity", out.node.identity);
     read_identity(from, "realm", out.node.realm);
     read_address(from, "listen", out.node.listen, true);
     read_address(from, "admin", out.node.admin, true);
   });
-  top.section("core", [&](config::Section& from) {
+  top.read_section("core", [&](config::Section& from) {
     from.read("plain", out.core.plain);
     from.read("watchdog", out.core.watchdog);
     // RFC 3539 section 3.4.1: Tw must not be under 6 s.
@@ -106,7 +106,7 @@
     from.read_time("linger", out.core.linger_s, 0, kSecondsPerDay);
     from.read("max_unsent", out.core.max_unsent, 4096, 1u << 30);
   });
-  top.section("callers", [&](config::Section& from) {
+  top.read_section("callers", [&](config::Section& from) {
     from.read_list("peers", out.callers.peers);
     from.read("plain", out.callers.plain);
     from.read_time("watchdog_interval", out.callers.watchdog_s, 6, kSecondsPerDay);
@@ -119,7 +119,7 @@
     from.read("max_duplicates", out.callers.max_duplicates, 1, 10000000);
   });
   top.require("list");
-  top.section("list", [&](config::Section& from) {
+  top.read_section("list", [&](config::Section& from) {
     read_address(from, "server", out.list.server, true);
     from.read("path", out.list.path);
     from.read("cache_file", out.list.cache_file);
@@ -131,7 +131,7 @@
     from.read_time("reconnect", out.list.reconnect_s, 0.01, kSecondsPerDay);
     from.read_time("idle", out.list.idle_s, 0.1, kSecondsPerDay);
   });
-  top.section("fleet", [&](config::Section& from) {
+  top.read_section("fleet", [&](config::Section& from) {
     from.read("size", s.fleet_size, 1, 100000);
     from.read("own_number", s.own_number, 0, 99999);
     std::vector<std::string> peers;
@@ -150,22 +150,22 @@
   });
   top.require("classes");
   std::vector<std::string> names;
-  top.sections("classes", [&](config::Section& from) { read_class(from, out, names); });
+  top.read_sections("classes", [&](config::Section& from) { read_class(from, out, names); });
   if (s.classes.empty()) top.fail("classes", "is empty");
   std::vector<std::string> choices = names;
   choices.emplace_back("refuse");
   std::size_t unknown = names.size();
   top.read_choice("unknown_class", choices, unknown);
   if (unknown < names.size()) out.classes.fallback = static_cast<std::uint32_t>(unknown);
-  top.sections("realms", [&](config::Section& from) { read_realm(from, out); });
-  top.section("rules", [&](config::Section& from) { read_rules(from, s); });
+  top.read_sections("realms", [&](config::Section& from) { read_realm(from, out); });
+  top.read_section("rules", [&](config::Section& from) { read_rules(from, s); });
   s.gives_retry_after = s.max_retry_after_s > 0;
   s.must_subscribe = true;
-  top.section("limits", [&](config::Section& from) {
+  top.read_section("limits", [&](config::Section& from) {
     from.read("calls", out.max_calls, 1, 10000000);
     from.read("message_bytes", out.max_message, 1024, 1u << 24);
   });
-  top.section("log", [&](config::Section& from) {
+  top.read_section("log", [&](config::Section& from) {
     static const std::vector<std::string> kLevels = {"debug", "info", "warning", "error"};
     std::size_t level = 1;
     from.read_choice("level", kLevels, level);
@@ -175,7 +175,7 @@
   std::uint32_t seed = 0;
   top.read("seed", seed, 0, 0xFFFFFFFFu);
   out.seed = seed;
-  top.finish();
+  top.reject_unknown_keys();
   return out;
 }
 
--- a/src/edge/core_side.cpp
+++ b/src/edge/core_side.cpp
@@ -182,7 +182,7 @@
   if (server.timer == net::TimerId() ? due > 1e15 : due == server.timer.when) return;
   loop_.timers().cancel(std::exchange(server.timer, 0));
   if (due > 1e15) return;
-  server.timer = loop_.timers().at(due, [this, &server] {
+  server.timer = loop_.timers().schedule(due, [this, &server] {
     server.timer = 0;
     const CoreSessions::Expired expired = server.sessions.tick(loop_.now());
     end_attempts(expired.no_connection, Outcome::kConnectFailed);
--- a/src/edge/diameter_front.cpp
+++ b/src/edge/diameter_front.cpp
@@ -70,7 +70,7 @@
   net::Stream::Handlers handlers;
   handlers.on_bytes = [this, id](std::string_view bytes) { on_pending_bytes(id, bytes); };
   handlers.on_closed = [this, id](const std::string& reason) { reject_pending(id, reason); };
-  pending->stream->set(std::move(handlers));
+  pending->stream->set_handlers(std::move(handlers));
   pending->timer =
       loop_.after(config_.callers.cer_timeout_s, [this, id] { reject_pending(id, "no CER in time"); });
   pending_connections_[id] = std::move(pending);
@@ -332,7 +332,7 @@
 void DiameterFront::schedule_ends_timer() {
   const double due = pending_ends_.deadline();
   if (ends_timer_ != net::TimerId() || due > 1e15) return;
-  ends_timer_ = loop_.timers().at(due, [this] {
+  ends_timer_ = loop_.timers().schedule(due, [this] {
     ends_timer_ = 0;
     for (const TerminationRequest& each : pending_ends_.take_expired(loop_.now())) {
       counters_.unconfirmed += 1;
--- a/src/edge/edge.cpp
+++ b/src/edge/edge.cpp
@@ -145,7 +145,7 @@
            }},
           {"/calls", [this] { return calls(); }}});
   if (config_.settings.can_tell_peers) {
-    datagrams_ = std::make_unique<net::Datagrams>(
+    datagrams_ = std::make_unique<net::DatagramSocket>(
         loop_, config_.fleet.listen,
         [this](std::string_view bytes, net::Address from) { on_datagram(bytes, from); });
   }
@@ -176,7 +176,7 @@
   loop_.timers().cancel(std::exchange(call_timer_, 0));
   if (due == std::numeric_limits<double>::infinity()) return;
   call_timer_at_ = due;
-  call_timer_ = loop_.timers().at(due, [this] {
+  call_timer_ = loop_.timers().schedule(due, [this] {
     call_timer_ = 0;
     call_manager_.tick(loop_.now());
     schedule_call_timer();
@@ -362,7 +362,7 @@
 
 namespace {
 
-membership::Moment moment_at(double monotonic) {
+membership::ClockReading moment_at(double monotonic) {
   static const std::string kBoot = [] {  // read once: it can't change while this process runs
     std::ifstream in("/proc/sys/kernel/random/boot_id");
     std::string boot;
@@ -372,8 +372,8 @@
   return {net::wall_now(), monotonic, kBoot};
 }
 
-membership::KeptEntry to_stored_entry(const list::Entry& entry, double wall) {
-  membership::KeptEntry out;
+membership::StoredEntry to_stored_entry(const list::Entry& entry, double wall) {
+  membership::StoredEntry out;
   out.identity = entry.identity;
   out.address = entry.address;
   out.node = entry.node;
@@ -390,7 +390,7 @@
 bool Edge::load_stored_list() {
   if (config_.list.store.empty()) return false;
   try {
-    list_store_ = std::make_unique<membership::Keeper>(
+    list_store_ = std::make_unique<membership::AsyncStore>(
         config_.list.store,
         config_.list.store_survives_power_cut ? membership::Store::Durability::kPowerCut
                                               : membership::Store::Durability::kProcessCrash,
@@ -405,37 +405,37 @@
   }
   log_store_faults();
   schedule_list_confirmation();
-  const membership::Loaded& loaded = list_store_->loaded();
+  const membership::StoredList& loaded = list_store_->loaded();
   if (loaded.entries.empty()) return false;
   const double now = loop_.now();
-  const membership::Moment current = moment_at(now);
-  const membership::Moment stored{loaded.wall, loaded.monotonic, loaded.boot};
+  const membership::ClockReading current = moment_at(now);
+  const membership::ClockReading stored{loaded.wall, loaded.monotonic, loaded.boot};
   // Revision 0, so that any later update is accepted: the list server may have restarted its revisions.
   list::Update update;
-  for (const membership::KeptEntry& each : loaded.entries) {
+  for (const membership::StoredEntry& each : loaded.entries) {
     update.entries.push_back(
         {each.identity, each.address, each.node, each.kind, each.weight, each.state, each.started_at});
   }
   server_list_.apply(update);
   ServerList cached = server_list_.to_server_list(update, ServerList::Mode::kCached, now, current.wall);
-  std::vector<membership::Kept> kept;
+  std::vector<membership::AssessedEntry> kept;
   for (std::size_t i = 0; i < loaded.entries.size(); ++i) {
-    const membership::Age age = membership::age_of(loaded.entries[i].last_confirmed, stored, current);
+    const membership::Age age = membership::confirmation_age(loaded.entries[i].last_confirmed, stored, current);
     membership::Evidence evidence;
     evidence.confirmed_age_s = age.seconds;
-    evidence.clock_doubtful = age.doubtful || !loaded.whole;  // the damaged part may have held the age
+    evidence.clock_unreliable = age.unreliable || !loaded.intact;  // the damaged part may have held the age
     evidence.source = loaded.entries[i].source;
     const auto entry = std::find_if(
         cached.entries.begin(), cached.entries.end(),
         [&](const ServerEntry& each) { return each.id == server_list_.id_of(loaded.entries[i].identity); });
     if (entry == cached.entries.end()) continue;
-    kept.push_back({*entry, membership::judge(config_.list.trust, evidence)});
+    kept.push_back({*entry, membership::assess(config_.list.trust, evidence)});
     log_event(info, "list_kept",
               {{"peer", loaded.entries[i].identity},
-               {"trust", std::to_string(kept.back().trust.degree)},
-               {"detail", kept.back().trust.why}});
+               {"trust", std::to_string(kept.back().trust.score)},
+               {"detail", kept.back().trust.reason}});
   }
-  cached.entries = membership::tell(kept, now);
+  cached.entries = membership::cached_list_entries(kept, now);
   call_manager_.update_servers(cached, now);
   for (const ServerEntry& each : cached.entries) core_.update_server(each.id, *server_list_.find(each.id));
   return true;
@@ -443,7 +443,7 @@
 
 void Edge::store_list(const list::Update& update) {
   if (!list_store_) return;
-  const membership::Moment current = moment_at(loop_.now());
+  const membership::ClockReading current = moment_at(loop_.now());
   membership::Change change;
   change.revision = update.revision;
   change.wall = current.wall;
@@ -457,7 +457,7 @@
       change.entries.push_back(to_stored_entry(each, current.wall));
     }
   }
-  list_store_->keep(std::move(change));
+  list_store_->write(std::move(change));
 }
 
 // Confirms the stored entries at intervals while the list server is connected, even if it sends no updates,
--- a/src/edge/edge.hpp
+++ b/src/edge/edge.hpp
@@ -21,7 +21,7 @@
 #include "fleet/gossip.hpp"
 #include "list/client.hpp"
 #include "list/server_list.hpp"
-#include "membership/keeper.hpp"
+#include "membership/async_store.hpp"
 #include "net/loop.hpp"
 
 namespace mintrock::edge {
@@ -107,14 +107,14 @@
   DiameterFront front_;
   std::unordered_map<CallId, CallEntry> calls_;
   std::unique_ptr<list::Client> list_client_;
-  std::unique_ptr<net::Datagrams> datagrams_;
+  std::unique_ptr<net::DatagramSocket> datagrams_;
   fleet::Writer gossip_writer_;
   fleet::Reader gossip_reader_;
   std::unique_ptr<AdminServer> admin_server_;
   // Reported by the store's thread, logged by the event loop.
   std::mutex store_faults_mutex_;
   std::vector<std::string> store_faults_;
-  std::unique_ptr<membership::Keeper> list_store_;
+  std::unique_ptr<membership::AsyncStore> list_store_;
   net::TimerId call_timer_ = 0;
   double call_timer_at_ = 0;
   net::TimerId drain_timer_ = 0;
--- a/src/lab/soak/callers.cpp
+++ b/src/lab/soak/callers.cpp
@@ -95,7 +95,7 @@
   checker_.edge_stopped(edge_, planned, loop_.now());
   open_setups_.clear();
   for (auto& [id, connection] : std::exchange(connections_, {})) {
-    connection.stream->set({});
+    connection.stream->set_handlers({});
     connection.stream->close();
   }
 }
@@ -104,16 +104,16 @@
   const std::size_t id = ++last_connection_id_;
   Connection& connection = connections_[id];
   connection.stream = net::Stream::connect(loop_, to_, kMaxUnsentBytes);
-  connection.stream->set({[this, id] { on_connected(id); },
-                          [this, id](std::string_view bytes) {
-                            connections_.at(id).message_reader.feed(bytes);
-                            while (connections_.count(id) != 0) {
-                              const auto message = connections_.at(id).message_reader.next();
-                              if (!message) return;
+  connection.stream->set_handlers({[this, id] { on_connected(id); },
+                                   [this, id](std::string_view bytes) {
+                                     connections_.at(id).message_reader.feed(bytes);
+                                     while (connections_.count(id) != 0) {
+                                       const auto message = connections_.at(id).message_reader.next();
+                                       if (!message) return;
                               handle_message(id, *message);
-                            }
-                          },
-                          [this, id](const std::string&) { on_closed(id); }});
+                                     }
+                                   },
+                                   [this, id](const std::string&) { on_closed(id); }});
   return id;
 }
 
@@ -192,7 +192,7 @@
 
 // Forgets a connection that the callers' side has closed: the callers of its open set-ups have left.
 void Callers::abandon_connection(std::size_t connection) {
-  connections_.at(connection).stream->set({});
+  connections_.at(connection).stream->set_handlers({});
   connections_.erase(connection);
   std::vector<std::uint64_t> lost;
   for (const auto& [id, open] : open_setups_) {
--- a/src/lab/soak/discovery.cpp
+++ b/src/lab/soak/discovery.cpp
@@ -61,7 +61,7 @@
 void Discovery::accept(int fd, net::Address from) {
   const std::size_t id = ++last_id_;
   subscribers_[id].stream = net::Stream::adopt(loop_, fd, from, kMaxUnsentBytes);
-  subscribers_[id].stream->set({{},
+  subscribers_[id].stream->set_handlers({{},
                                 [this, id](std::string_view bytes) { handle_request(id, bytes); },
                                 [this, id](const std::string&) { subscribers_.erase(id); }});
 }
@@ -114,7 +114,7 @@
 
 void Discovery::break_connections() {
   for (auto& [id, subscriber] : std::exchange(subscribers_, {})) {
-    subscriber.stream->set({});
+    subscriber.stream->set_handlers({});
     subscriber.stream->write("id: 999\ndata: {\"offs");
     subscriber.stream->close_after_flush();
   }
@@ -127,7 +127,7 @@
   }
   listener_.reset();
   for (auto& [id, subscriber] : std::exchange(subscribers_, {})) {
-    subscriber.stream->set({});
+    subscriber.stream->set_handlers({});
     subscriber.stream->close();
   }
 }
--- a/src/lab/soak/faulty_link.cpp
+++ b/src/lab/soak/faulty_link.cpp
@@ -40,7 +40,7 @@
   }
   const std::size_t id = ++last_id_;
   links_[id].client = client;
-  client->set({{},
+  client->set_handlers({{},
                [this, id](std::string_view bytes) {
                  links_.at(id).to_server += bytes;
                  forward(id);
@@ -59,7 +59,7 @@
   if (found == links_.end()) return;
   const auto server = net::Stream::connect(loop_, target_, kMaxUnsentBytes);
   found->second.server = server;
-  server->set({[this, id] { forward(id); },
+  server->set_handlers({[this, id] { forward(id); },
                [this, id](std::string_view bytes) {
                  links_.at(id).to_client += bytes;
                  forward(id);
@@ -94,7 +94,7 @@
   links_.erase(found);
   for (const auto& stream : {link.client, link.server}) {
     if (stream == nullptr) continue;
-    stream->set({});
+    stream->set_handlers({});
     if (reset) {
       stream->reset();
     } else {
--- a/src/platform/platform_edge.cpp
+++ b/src/platform/platform_edge.cpp
@@ -91,7 +91,7 @@
   config_.known_servers.clear();
   open_bus();
   if (config_.has_peers && config_.instance.settings.can_tell_peers) {
-    datagrams_ = std::make_unique<net::Datagrams>(
+    datagrams_ = std::make_unique<net::DatagramSocket>(
         loop_, config_.peer_listen,
         [this](std::string_view bytes, net::Address from) { on_datagram(bytes, from); });
   }
@@ -114,7 +114,7 @@
   loop_.timers().cancel(std::exchange(timer_, 0));
   if (due == std::numeric_limits<double>::infinity()) return;
   timer_at_ = due;
-  timer_ = loop_.timers().at(due, [this] {
+  timer_ = loop_.timers().schedule(due, [this] {
     timer_ = 0;
     const double now = loop_.now();
     call_manager_.tick(now);
@@ -210,25 +210,26 @@
 // ---- Callers ----
 
 void PlatformEdge::on_accept(int fd, net::Address from) {
-  if (caller_streams_.size() + loop_.closing() >= budget_.callers) {
+  if (caller_streams_.size() + loop_.closing_streams() >= budget_.callers) {
     const ConnectionId candidate = callers_.eviction_candidate();
     if (candidate != 0) callers_.evict(candidate);
   }
   const auto stream = net::Stream::adopt(loop_, fd, from, kMaxUnsent);
-  if (caller_streams_.size() + loop_.closing() >= budget_.callers) return stream->close();
+  if (caller_streams_.size() + loop_.closing_streams() >= budget_.callers) return stream->close();
   const ConnectionId id = ++last_connection_;
   caller_streams_[id] = stream;
-  stream->set({{},
-               [this, id](std::string_view bytes) {
-                 callers_.received(id, bytes, loop_.now());
+  stream->set_handlers(
+      {{},
+       [this, id](std::string_view bytes) {
+         callers_.received(id, bytes, loop_.now());
                  schedule_timer();
-               },
-               [this, id](const std::string& why) {
-                 log_event(info, "caller_lost", {{"connection", std::to_string(id)}, {"detail", why}});
-                 caller_streams_.erase(id);
-                 callers_.lost(id, loop_.now());
+       },
+       [this, id](const std::string& why) {
+         log_event(info, "caller_lost", {{"connection", std::to_string(id)}, {"detail", why}});
+         caller_streams_.erase(id);
+         callers_.lost(id, loop_.now());
                  schedule_timer();
-               }});
+       }});
   callers_.opened(id, loop_.now());
   schedule_timer();
 }
@@ -245,8 +246,8 @@
   caller_streams_.erase(found);
   // A plain close is used wherever it loses no data: a set-up that crosses it then fails on a closed
   // connection, instead of being sent on one that looks open.
-  if (stream->wrote_lately()) {
-    stream->finish();
+  if (stream->wrote_recently()) {
+    stream->close_gracefully();
   } else {
     stream->close();
   }
@@ -396,25 +397,25 @@
     return id;
   }
   core_streams_[id] = {server, stream};
-  stream->set({[this, id, server] {
-                 if (CoreConnections* const connections = find_connections(server))
+  stream->set_handlers({[this, id, server] {
+                          if (CoreConnections* const connections = find_connections(server))
                    connections->connected(id, loop_.now());
                  schedule_timer();
-               },
-               [this, id, server](std::string_view bytes) {
-                 if (CoreConnections* const connections = find_connections(server))
+                        },
+                        [this, id, server](std::string_view bytes) {
+                          if (CoreConnections* const connections = find_connections(server))
                    connections->received(id, bytes, loop_.now());
                  schedule_timer();
-               },
-               [this, id, server, raw = stream.get()](const std::string&) {
-                 const ConnectionLoss loss = raw->error() == ECONNREFUSED ? ConnectionLoss::kRefused
+                        },
+                        [this, id, server, raw = stream.get()](const std::string&) {
+                          const ConnectionLoss loss = raw->error() == ECONNREFUSED ? ConnectionLoss::kRefused
                                                                           : ConnectionLoss::kClosedByServer;
-                 core_streams_.erase(id);
-                 if (CoreConnections* const connections = find_connections(server))
+                          core_streams_.erase(id);
+                          if (CoreConnections* const connections = find_connections(server))
                    connections->disconnected(id, loss, loop_.now());
                  remove_departed_servers();
                  schedule_timer();
-               }});
+                        }});
   return id;
 }
 
@@ -433,7 +434,7 @@
 
 void PlatformEdge::retire_core(ConnectionId which) {
   const auto found = core_streams_.find(which);
-  if (found != core_streams_.end()) found->second.stream->end_writing();
+  if (found != core_streams_.end()) found->second.stream->shutdown_write();
 }
 
 void PlatformEdge::core_call_established(const AttemptId& attempt, std::string description,
@@ -748,7 +749,7 @@
   std::size_t releases = 0;
   for (const auto& [id, core] : cores_)
     releases += core.connections->pending_releases() + core.connections->unconfirmed_releases(now);
-  const bool callers_gone = leaving_ && callers_.connections() == 0 && loop_.closing() == 0;
+  const bool callers_gone = leaving_ && callers_.connections() == 0 && loop_.closing_streams() == 0;
   // An end that is received now can only be sent by the next process: it must not be delayed for the sake of
   // unconfirmed releases.
   const bool done = callers_gone && (releases == 0 || callers_.pending_ends() > 0);
--- a/src/platform/platform_edge.hpp
+++ b/src/platform/platform_edge.hpp
@@ -151,7 +151,7 @@
   std::deque<std::pair<double, std::uint64_t>> recently_ended_order_;
   std::unordered_map<std::uint64_t, double> recently_ended_;
   std::unique_ptr<net::Listener> listener_;
-  std::unique_ptr<net::Datagrams> datagrams_;
+  std::unique_ptr<net::DatagramSocket> datagrams_;
   std::unique_ptr<list::Client> bus_;
   net::TimerId timer_ = 0;
   double timer_at_ = 0;
--- a/tests/edge/config_test.cpp
+++ b/tests/edge/config_test.cpp
@@ -59,9 +59,9 @@
 
 TEST(EdgeConfig, ErrorsNameFileLineAndKey) {
   EXPECT_EQ(error_of(kValid), "good");
-  EXPECT_EQ(error_of(with("limts: {calls: 5}\n")), ":6: limts is not known; the nearest is limits");
+  EXPECT_EQ(error_of(with("limts: {calls: 5}\n")), ":6: limts is unknown, the most similar key is limits");
   EXPECT_EQ(error_of(with("core: {recconect: 1s}\n")),
-            ":6: core.recconect is not known; the nearest is core.reconnect");
+            ":6: core.recconect is unknown, the most similar key is core.reconnect");
   EXPECT_EQ(error_of(with("core: {reconnect: 5}\n")),
             ":6: core.reconnect: '5' has no unit (us, ms, s, m, h)");
   EXPECT_EQ(error_of(with("core: {watchdog_interval: 5s}\n")),
@@ -72,10 +72,10 @@
             ":6: fleet.own_number: is not below the size");
   EXPECT_EQ(error_of(with("fleet: {size: 2, peers: [\"127.0.0.1:1\"]}\n")),
             ":6: fleet.peers: must be as many as fleet.size");
-  EXPECT_EQ(error_of(with("limits: {calls: 1.5}\n")), ":6: limits.calls: is no whole number");
-  EXPECT_EQ(error_of(with("limits: {calls: .inf}\n")), ":6: limits.calls: '.inf' is no number");
-  EXPECT_EQ(error_of(with("node: {}\n")), ":6: node stands twice");
-  EXPECT_EQ(error_of("node: [1]\n"), ":1: node. is no mapping");
+  EXPECT_EQ(error_of(with("limits: {calls: 1.5}\n")), ":6: limits.calls: is not an integer");
+  EXPECT_EQ(error_of(with("limits: {calls: .inf}\n")), ":6: limits.calls: '.inf' is not a number");
+  EXPECT_EQ(error_of(with("node: {}\n")), ":6: node is a duplicate key");
+  EXPECT_EQ(error_of("node: [1]\n"), ":1: node. is not a mapping");
   EXPECT_EQ(error_of("a: b: c\n").substr(0, 3), ":1:");
   EXPECT_EQ(error_of(""), ": node: is missing");
   std::string text = kValid;
@@ -101,7 +101,7 @@
   EXPECT_EQ(config.other_realms, RealmTable::Action::kLocal);
   const TempFile plain(kValid);
   EXPECT_FALSE(load_config(plain.path).classes.fallback) << "refused by default";
-  EXPECT_EQ(error_of(with("unknown_class: c\n")), ":6: unknown_class: 'c' is none of a, b, refuse");
+  EXPECT_EQ(error_of(with("unknown_class: c\n")), ":6: unknown_class: 'c' is not one of a, b, refuse");
   EXPECT_EQ(error_of(with("realms: [{realm: x, action: local}, {realm: X, action: refuse}]\n")),
             ":6: realms[1].realm: X is listed twice");
 }
--- a/tests/lab/soak/core_server_test.cpp
+++ b/tests/lab/soak/core_server_test.cpp
@@ -56,7 +56,7 @@
       : trigger("7 over s-1\n", [&, at_end] { loop.defer([&, at_end] { at_end(server); }); }) {
     checker.setup_sent(kCall, 0, 1.0, loop.now());
     const auto edge = net::Stream::connect(loop, server.address(0), kMaxUnsent);
-    edge->set({{}, [this](std::string_view bytes) { on_bytes(bytes); }, {}});
+    edge->set_handlers({{}, [this](std::string_view bytes) { on_bytes(bytes); }, {}});
     edge->write(platform::write_core_setup(kCall, "voice", "7", 1000, "offer"));
     loop.after(kRunTime, [this] { loop.stop(); });
     loop.run();
