--- a/src/platform/caller_codec.cpp
+++ b/src/platform/caller_codec.cpp
@@ -15,16 +15,16 @@
 constexpr std::size_t kMinLength = 9;  // type and call id
 constexpr std::size_t kMaxTextSize = 255;
 constexpr double kMaxTimeLeftMs = 600000;  // no caller waits longer than ten minutes
-constexpr double kMaxWidth = 1000;
+constexpr double kMaxLines = 1000;
 constexpr double kMaxNode = 65535;
 
-std::size_t big_endian16(std::string_view text, std::size_t at) {
+std::size_t read_u16(std::string_view text, std::size_t at) {
   return static_cast<std::size_t>(static_cast<unsigned char>(text[at])) << 8 |
          static_cast<unsigned char>(text[at + 1]);
 }
 
 // Returns the called number as the controller's key: its value if it is hexadecimal, else a hash of its text.
-std::uint64_t key_of(std::string_view number) {
+std::uint64_t number_key(std::string_view number) {
   std::uint64_t key = 0;
   const auto [end, error] = std::from_chars(number.data(), number.data() + number.size(), key, 16);
   if (error == std::errc() && end == number.data() + number.size()) return key;
@@ -53,8 +53,8 @@
       if (number < -1 || number > kMaxNode || number != std::floor(number)) return "dest is out of range";
       out.first_choice = static_cast<std::int64_t>(number);
     } else if (name == "width") {
-      if (number <= 0 || number > kMaxWidth) return "width is out of range";
-      out.width = number;
+      if (number <= 0 || number > kMaxLines) return "width is out of range";
+      out.lines = number;
     } else if (name == "via") {
       if (number < -1 || number > kMaxNode) return "via is out of range";
     } else if (name == "again") {
@@ -65,7 +65,7 @@
   return nullptr;
 }
 
-void put16(std::string& out, std::size_t value) {
+void append_u16(std::string& out, std::size_t value) {
   out.push_back(static_cast<char>(value >> 8 & 0xFF));
   out.push_back(static_cast<char>(value & 0xFF));
 }
@@ -81,14 +81,14 @@
 
 std::optional<CallerMessage> MessageParser::next() {
   if (fault_ != nullptr) return std::nullopt;
-  if (at_ > 0 && (at_ == buffer_.size() || at_ >= kMaxMessageSize)) {
-    buffer_.erase(0, at_);
-    at_ = 0;
+  if (position_ > 0 && (position_ == buffer_.size() || position_ >= kMaxMessageSize)) {
+    buffer_.erase(0, position_);
+    position_ = 0;
     if (buffer_.empty()) buffer_.shrink_to_fit();  // thousands of idle connections hold no memory
   }
-  const std::string_view rest = std::string_view(buffer_).substr(at_);
+  const std::string_view rest = std::string_view(buffer_).substr(position_);
   if (rest.size() < kLengthSize) return std::nullopt;
-  const std::size_t length = big_endian16(rest, 0);
+  const std::size_t length = read_u16(rest, 0);
   if (length < kMinLength) {
     fault_ = "length too small";
     return std::nullopt;
@@ -111,7 +111,7 @@
       return std::nullopt;
     }
     const auto code = static_cast<std::uint8_t>(body[at]);
-    const std::size_t size = big_endian16(body, at + 1);
+    const std::size_t size = read_u16(body, at + 1);
     if (size > body.size() - at - 3) {
       fault_ = "parameter exceeds its message";
       return std::nullopt;
@@ -119,7 +119,7 @@
     message.parameters.emplace_back(code, body.substr(at + 3, size));
     at += 3 + size;
   }
-  at_ += kLengthSize + length;
+  position_ += kLengthSize + length;
   return message;
 }
 
@@ -149,7 +149,7 @@
   out.redialled = redial == "1";
   out.number = std::string(message.find(Parameter::kCalledNumber));
   if (out.number.size() > kMaxTextSize) return fault("called number is too long");
-  out.key = out.number.empty() ? 0 : key_of(out.number);
+  out.key = out.number.empty() ? 0 : number_key(out.number);
   if (const char* bad = read_attributes(message.find(Parameter::kAttributes), out)) return fault(bad);
   out.description = std::string(message.find(Parameter::kDescription));
   if (out.description.empty() && out.established_server.empty()) return fault("missing description");
@@ -173,11 +173,11 @@
   for (int shift = 56; shift >= 0; shift -= 8) body.push_back(static_cast<char>(call >> shift & 0xFF));
   for (const auto& [code, value] : parameters) {
     body.push_back(static_cast<char>(code));
-    put16(body, value.size());
+    append_u16(body, value.size());
     body += value;
   }
   std::string out;
-  put16(out, body.size());
+  append_u16(out, body.size());
   return out + body;
 }
 
@@ -197,7 +197,7 @@
   return write_message(CallerMessageType::kReleased, call, {});
 }
 
-std::string write_test_passed(std::uint64_t call, bool passed) {
+std::string write_test_result(std::uint64_t call, bool passed) {
   return write_message(CallerMessageType::kTestResult, call,
                        {{Parameter::kCause, std::string(1, static_cast<char>(passed ? 1 : 0))}});
 }
--- a/src/platform/caller_codec.hpp
+++ b/src/platform/caller_codec.hpp
@@ -55,11 +55,11 @@
   // Returns the next complete message. Its parameters stay valid until the next call of feed() or next().
   std::optional<CallerMessage> next();
   const char* fault() const { return fault_; }  // null if none
-  bool partial() const { return at_ < buffer_.size(); }
+  bool has_partial_message() const { return position_ < buffer_.size(); }
 
  private:
   std::string buffer_;
-  std::size_t at_ = 0;
+  std::size_t position_ = 0;
   const char* fault_ = nullptr;
 };
 
@@ -71,7 +71,7 @@
   bool redialled = false;
   std::string number;     // called number, passed on unchanged
   std::uint64_t key = 0;  // called number as the controller's key; 0: none
-  double width = 1;       // lines that the call occupies
+  double lines = 1;       // number of lines that the call occupies
   std::int64_t first_choice = -1;
   bool was_cut = false;
   std::string established_server;  // core server where the call is already established; empty for a new call
@@ -86,7 +86,7 @@
 std::string write_answer(std::uint64_t call, std::string_view description);
 std::string write_release(std::uint64_t call, int cause, std::optional<std::uint32_t> retry_after_ms = {});
 std::string write_released(std::uint64_t call);
-std::string write_test_passed(std::uint64_t call, bool passed);
+std::string write_test_result(std::uint64_t call, bool passed);
 
 // Writes any message, for tests and simulated callers.
 std::string write_message(CallerMessageType type, std::uint64_t call,
--- a/src/platform/caller_side.cpp
+++ b/src/platform/caller_side.cpp
@@ -43,7 +43,7 @@
 double CallerSide::compute_due(const Connection& connection) const {
   if (!connection.open_setups.empty()) return kNever;
   if (!connection.established.empty() && !shutting_down_) return kNever;
-  const bool partial = connection.parser.partial();
+  const bool partial = connection.parser.has_partial_message();
   if (shutting_down_)
     return partial ? connection.partial_since + kPartialTimeout
                    : std::max(connection.last_active, connection.opened_at + kNewConnectionGrace);
@@ -104,7 +104,7 @@
 void CallerSide::received(ConnectionId from, std::string_view bytes, double now) {
   Connection* connection = find(from);
   if (connection == nullptr) return;
-  if (!connection->parser.partial()) connection->partial_since = now;
+  if (!connection->parser.has_partial_message()) connection->partial_since = now;
   connection->parser.feed(bytes);
   while (connection != nullptr) {
     const auto message = connection->parser.next();
@@ -149,7 +149,7 @@
       return;  // the call has ended already: its end was sent, or none is pending
     }
     case CallerMessageType::kTest:
-      delegate_.send_to_caller(from, write_test_passed(message.call, true));
+      delegate_.send_to_caller(from, write_test_result(message.call, true));
       connection.replied = true;
       connection.last_active = now;
       return;
@@ -271,7 +271,7 @@
   std::vector<Rank> candidates;
   for (const auto& [which, connection] : connections_) {
     if (!connection.open_setups.empty()) continue;
-    candidates.emplace_back(connection.parser.partial(), !connection.established.empty(), connection.replied,
+    candidates.emplace_back(connection.parser.has_partial_message(), !connection.established.empty(), connection.replied,
                             connection.last_active, which);
   }
   const auto lowest_on_top = std::greater<>();
--- a/src/platform/core_codec.cpp
+++ b/src/platform/core_codec.cpp
@@ -118,8 +118,8 @@
 }
 
 std::string write_core_setup(std::uint64_t id, std::string_view service_class, std::string_view number,
-                             std::uint32_t left_ms, std::string_view description) {
-  json fields{{"class", service_class}, {"left", std::to_string(left_ms)}};
+                             std::uint32_t time_left_ms, std::string_view description) {
+  json fields{{"class", service_class}, {"left", std::to_string(time_left_ms)}};
   if (!number.empty()) fields["key"] = number;
   const json message{{"type", "setup"}, {"id", hex_id(id)}, {"fields", fields}, {"sdp", description}};
   return message.dump(-1, ' ', false, json::error_handler_t::replace) + "\n";
--- a/src/platform/core_codec.hpp
+++ b/src/platform/core_codec.hpp
@@ -46,7 +46,7 @@
 Report read_report(std::string_view text);
 
 std::string write_core_setup(std::uint64_t id, std::string_view service_class, std::string_view number,
-                             std::uint32_t left_ms, std::string_view description);
+                             std::uint32_t time_left_ms, std::string_view description);
 std::string write_core_release(std::uint64_t id, int cause);
 
 // The result of an attempt that a release ended before the answer, as the Controller takes it.
--- a/src/platform/platform_edge.cpp
+++ b/src/platform/platform_edge.cpp
@@ -171,10 +171,10 @@
   const Call& call = found->second;
   log_event(info, "attempt",
             {{"call", hex_id(call.id)}, {"attempt", std::to_string(attempt)}, {"peer", identity(server)}});
-  const auto left_ms = static_cast<std::uint32_t>(std::max(1.0, std::floor(give_up_after_s * 1000)));
+  const auto time_left_ms = static_cast<std::uint32_t>(std::max(1.0, std::floor(give_up_after_s * 1000)));
   core->second.connections->set_up(
       {id, attempt}, call.id,
-      write_core_setup(call.id, call.service_class, call.number, left_ms, call.description), loop_.now());
+      write_core_setup(call.id, call.service_class, call.number, time_left_ms, call.description), loop_.now());
   return edge::SendResult::kAccepted;
 }
 
@@ -265,9 +265,9 @@
     return "duplicate id: the call is established or in progress";
   // The set-up is measured with the longest time value; a core server closes the connection on a larger
   // message.
-  constexpr std::uint32_t kMaxLeftMs = 4294967295u;
+  constexpr std::uint32_t kMaxTimeLeftMs = 4294967295u;
   if (setup.description.size() > kMaxMessageSize / 16 &&
-      write_core_setup(setup.id, setup.service_class, setup.number, kMaxLeftMs, setup.description).size() >
+      write_core_setup(setup.id, setup.service_class, setup.number, kMaxTimeLeftMs, setup.description).size() >
           kMaxMessageSize) {
     return "set-up too large to forward";
   }
@@ -282,7 +282,7 @@
   out.call_class = static_cast<std::uint32_t>(found_class - config_.class_names.begin());
   out.key = setup.key;
   out.ttl_s = setup.time_left_s;
-  out.lines = setup.width;
+  out.lines = setup.lines;
   out.first_choice = setup.first_choice;
   out.redialled = setup.redialled;
   out.was_cut = setup.was_cut;
--- a/tests/platform/caller_codec_test.cpp
+++ b/tests/platform/caller_codec_test.cpp
@@ -60,12 +60,12 @@
     EXPECT_EQ(setup->number, "7f3a9c21e0b4d655");
     EXPECT_EQ(setup->key, 0x7f3a9c21e0b4d655u);
     EXPECT_EQ(setup->first_choice, 2);
-    EXPECT_DOUBLE_EQ(setup->width, 1);
+    EXPECT_DOUBLE_EQ(setup->lines, 1);
     EXPECT_TRUE(setup->redialled);
     EXPECT_FALSE(setup->was_cut);
     EXPECT_EQ(setup->description, "m=audio\r\n");
     EXPECT_FALSE(parser.next());
-    EXPECT_FALSE(parser.partial());
+    EXPECT_FALSE(parser.has_partial_message());
   }
 }
 
@@ -160,7 +160,7 @@
 TEST(CallerCodec, ParsesWrittenMessages) {
   MessageParser parser;
   parser.feed(write_answer(7, "v=0") + write_release(8, kCauseCongestion, 250) + write_release(9, 41) +
-              write_test_passed(10, true) + write_released(11));
+              write_test_result(10, true) + write_released(11));
   auto message = parser.next();
   ASSERT_TRUE(message);
   EXPECT_EQ(message->type, 9);
