--- a/src/platform/caller_codec.cpp
+++ b/src/platform/caller_codec.cpp
@@ -84,7 +84,7 @@
   if (position_ > 0 && (position_ == buffer_.size() || position_ >= kMaxMessageSize)) {
     buffer_.erase(0, position_);
     position_ = 0;
-    if (buffer_.empty()) buffer_.shrink_to_fit();  // thousands of idle connections hold no memory
+    if (buffer_.empty()) buffer_.shrink_to_fit();  // idle connections, which can be thousands, hold no memory
   }
   const std::string_view rest = std::string_view(buffer_).substr(position_);
   if (rest.size() < kLengthSize) return std::nullopt;
--- a/src/platform/caller_codec.hpp
+++ b/src/platform/caller_codec.hpp
@@ -69,11 +69,11 @@
   std::string service_class;
   double time_left_s = 0;
   bool redialled = false;
-  std::string number;     // called number, passed on unchanged
-  std::uint64_t key = 0;  // called number as the controller's key; 0: none
-  double lines = 1;       // number of lines that the call occupies
-  std::int64_t first_choice = -1;
-  bool was_cut = false;
+  std::string number;              // called number, passed on unchanged
+  std::uint64_t key = 0;           // called number as the controller's key; 0: none
+  double lines = 1;                // number of lines that the call occupies
+  std::int64_t first_choice = -1;  // preferred node; -1: none
+  bool was_cut = false;            // the call was established, was cut, and is set up again
   std::string established_server;  // core server where the call is already established; empty for a new call
   std::string description;
 };
--- a/src/platform/caller_side.cpp
+++ b/src/platform/caller_side.cpp
@@ -11,14 +11,14 @@
 namespace {
 
 // A connection without a valid message must be closed within 3 s of its opening; the rest is a margin for a
-// busy core.
+// busy CPU.
 constexpr double kSilentTimeout = 2.0;  // s
 // A partly received message is waited for, on a new connection within those 3 s. The wait is bounded because
-// a sender can trickle bytes for ever.
+// a sender can trickle bytes indefinitely.
 constexpr double kSilentPartialTimeout = 2.4;  // s
 constexpr double kPartialTimeout = 2.0;        // s
-// s that a new connection stays open at a shutdown, since a set-up may be unread on it
-constexpr double kNewConnectionGrace = 0.1;
+// At a shutdown a new connection stays open for this long: a set-up may be unread on it.
+constexpr double kNewConnectionGrace = 0.1;  // s
 // Callers close a connection after 4 s without a call; one that is open for longer is closed by this side. A
 // connection with an established call is not idle: it may be the only one left to report the call's end on.
 constexpr double kIdleTimeout = 6.0;  // s
@@ -40,7 +40,7 @@
   return found == connections_.end() ? nullptr : &found->second;
 }
 
-double CallerSide::compute_due(const Connection& connection) const {
+double CallerSide::compute_close_check(const Connection& connection) const {
   if (!connection.open_setups.empty()) return kNever;
   if (!connection.established.empty() && !shutting_down_) return kNever;
   const bool partial = connection.parser.has_partial_message();
@@ -53,17 +53,17 @@
                  : idle;
 }
 
-void CallerSide::update_due(ConnectionId which, Connection& connection) {
-  const double due = compute_due(connection);
-  if (connection.due == due) return;
-  due_.erase({connection.due, which});
-  connection.due = due;
-  if (due < kNever) due_.emplace(due, which);
+void CallerSide::update_close_check(ConnectionId which, Connection& connection) {
+  const double close_check_at = compute_close_check(connection);
+  if (connection.close_check_at == close_check_at) return;
+  close_checks_.erase({connection.close_check_at, which});
+  connection.close_check_at = close_check_at;
+  if (close_check_at < kNever) close_checks_.emplace(close_check_at, which);
 }
 
 double CallerSide::deadline() const {
   const double ends = pending_ends_.empty() ? kNever : pending_ends_.front().expires_at;
-  return std::min(ends, due_.empty() ? kNever : due_.begin()->first);
+  return std::min(ends, close_checks_.empty() ? kNever : close_checks_.begin()->first);
 }
 
 void CallerSide::tick(double now) {
@@ -71,8 +71,8 @@
     pending_ends_.pop_front();
     counters_.ends_dropped += 1;
   }
-  while (!due_.empty() && due_.begin()->first <= now) {
-    const ConnectionId which = due_.begin()->second;
+  while (!close_checks_.empty() && close_checks_.begin()->first <= now) {
+    const ConnectionId which = close_checks_.begin()->second;
     if (delay_close(which, now)) continue;
     const bool replied = find(which)->replied;
     (replied ? counters_.closed_idle : counters_.closed_silent) += 1;
@@ -83,14 +83,14 @@
 }
 
 // Delays a close while the connection has unread bytes, which may be a set-up and are read in the next turn
-// of the event loop. The number of delays is bounded because a sender can trickle bytes for ever.
+// of the event loop. The number of delays is bounded because a sender can trickle bytes indefinitely.
 bool CallerSide::delay_close(ConnectionId which, double now) {
   Connection& connection = *find(which);
   if (connection.close_delays >= kMaxCloseDelays || !delegate_.has_unread(which)) return false;
   connection.close_delays += 1;
-  due_.erase({connection.due, which});
-  connection.due = now + kCloseDelay;
-  due_.emplace(connection.due, which);
+  close_checks_.erase({connection.close_check_at, which});
+  connection.close_check_at = now + kCloseDelay;
+  close_checks_.emplace(connection.close_check_at, which);
   return true;
 }
 
@@ -98,7 +98,7 @@
   counters_.connections += 1;
   Connection& connection = connections_[which];
   connection.opened_at = connection.last_active = now;
-  update_due(which, connection);
+  update_close_check(which, connection);
 }
 
 void CallerSide::received(ConnectionId from, std::string_view bytes, double now) {
@@ -115,12 +115,12 @@
     if (connection != nullptr) connection->partial_since = now;
   }
   if (connection == nullptr) return;
-  if (const char* what = connection->parser.fault()) {
+  if (const char* error = connection->parser.fault()) {
     counters_.faults += 1;
-    delegate_.caller_fault(from, what);
+    delegate_.caller_fault(from, error);
     return close(from, CloseReason::kInvalidMessages);
   }
-  update_due(from, *connection);
+  update_close_check(from, *connection);
 }
 
 void CallerSide::handle_message(ConnectionId from, const CallerMessage& message, double now) {
@@ -168,9 +168,9 @@
 
 void CallerSide::handle_setup(ConnectionId from, const CallerMessage& message, double now) {
   Connection& connection = *find(from);
-  const char* reason = nullptr;
-  std::optional<CallSetup> setup = read_setup(message, reason);
-  if (!setup) return handle_fault(from, message.call, reason);
+  const char* error = nullptr;
+  std::optional<CallSetup> setup = read_setup(message, error);
+  if (!setup) return handle_fault(from, message.call, error);
   const std::uint64_t id = setup->id;
   const auto owner = open_setups_.find(id);
   if (owner != open_setups_.end()) {
@@ -187,9 +187,9 @@
     connection.replied = true;  // the caller expects no answer
     // Before take_over(), which reports the end at once if the call has ended already.
     add_established(id, from, connection);
-    if (const char* what = delegate_.take_over(*setup)) {
+    if (const char* take_over_error = delegate_.take_over(*setup)) {
       remove_established(id, now);
-      return handle_fault(from, id, what);
+      return handle_fault(from, id, take_over_error);
     }
     return accept_setup(from, connection, now);
   }
@@ -197,12 +197,12 @@
   connection.open_setups.insert(id);
   open_setups_.emplace(id, from);
   connection.last_active = now;
-  if (const char* what = delegate_.offer(std::move(*setup))) {
+  if (const char* offer_error = delegate_.offer(std::move(*setup))) {
     open_setups_.erase(id);
-    if (Connection* again = find(from)) again->open_setups.erase(id);
-    return handle_fault(from, id, what);
+    if (Connection* current = find(from)) current->open_setups.erase(id);
+    return handle_fault(from, id, offer_error);
   }
-  if (Connection* again = find(from)) accept_setup(from, *again, now);
+  if (Connection* current = find(from)) accept_setup(from, *current, now);
 }
 
 void CallerSide::accept_setup(ConnectionId which, Connection& connection, double now) {
@@ -214,9 +214,9 @@
   }
 }
 
-void CallerSide::handle_fault(ConnectionId from, std::uint64_t id, const char* what) {
+void CallerSide::handle_fault(ConnectionId from, std::uint64_t id, const char* error) {
   counters_.faults += 1;
-  delegate_.caller_fault(from, what);
+  delegate_.caller_fault(from, error);
   Connection& connection = *find(from);
   connection.faults += 1;
   if (id != 0) {
@@ -228,23 +228,23 @@
 
 CallerSide::Connection CallerSide::remove(ConnectionId which) {
   const auto found = connections_.find(which);
-  Connection gone = std::move(found->second);
+  Connection removed = std::move(found->second);
   connections_.erase(found);
-  due_.erase({gone.due, which});
-  for (const std::uint64_t id : gone.established) established_.erase(id);
+  close_checks_.erase({removed.close_check_at, which});
+  for (const std::uint64_t id : removed.established) established_.erase(id);
   if (preferred_for_ends_ == which) preferred_for_ends_ = 0;
-  for (const std::uint64_t id : gone.open_setups) {
+  for (const std::uint64_t id : removed.open_setups) {
     open_setups_.erase(id);
     delegate_.hang_up(id);
   }
-  return gone;
+  return removed;
 }
 
 void CallerSide::lost(ConnectionId which, double now) {
   if (connections_.count(which) == 0) return;
-  const Connection gone = remove(which);
+  const Connection removed = remove(which);
   // The caller has not read what was written while it was closing the connection.
-  for (const SentEnd& each : gone.unacknowledged_ends) {
+  for (const SentEnd& each : removed.unacknowledged_ends) {
     if (each.sent_at + kUnacknowledgedWindow <= now) continue;
     counters_.ends_resent += 1;
     report_end(each.id, each.cause, now);
@@ -253,7 +253,7 @@
 
 void CallerSide::begin_shutdown() {
   shutting_down_ = true;
-  for (auto& [which, connection] : connections_) update_due(which, connection);
+  for (auto& [which, connection] : connections_) update_close_check(which, connection);
 }
 
 void CallerSide::close_all() {
@@ -271,8 +271,8 @@
   std::vector<Rank> candidates;
   for (const auto& [which, connection] : connections_) {
     if (!connection.open_setups.empty()) continue;
-    candidates.emplace_back(connection.parser.has_partial_message(), !connection.established.empty(), connection.replied,
-                            connection.last_active, which);
+    candidates.emplace_back(connection.parser.has_partial_message(), !connection.established.empty(),
+                            connection.replied, connection.last_active, which);
   }
   const auto lowest_on_top = std::greater<>();
   std::make_heap(candidates.begin(), candidates.end(), lowest_on_top);
@@ -296,7 +296,7 @@
   connection->had_answer = true;
   preferred_for_ends_ = to;
   add_established(id, to, *connection);
-  update_due(to, *connection);
+  update_close_check(to, *connection);
 }
 
 void CallerSide::add_established(std::uint64_t id, ConnectionId on, Connection& connection) {
@@ -304,7 +304,7 @@
   if (!inserted && entry->second != on) {  // the caller has announced the call again on another connection
     if (Connection* const previous = find(entry->second)) {
       previous->established.erase(id);
-      update_due(entry->second, *previous);
+      update_close_check(entry->second, *previous);
     }
     entry->second = on;
   }
@@ -319,7 +319,7 @@
   Connection& connection = *find(on);  // present: remove() drops the calls of a lost connection
   connection.established.erase(id);
   connection.last_active = now;
-  update_due(on, connection);
+  update_close_check(on, connection);
 }
 
 void CallerSide::refuse(std::uint64_t id, int cause, std::optional<std::uint32_t> retry_after_ms,
@@ -337,7 +337,7 @@
   connection.replied = true;
   connection.last_active = now;
   delegate_.send_to_caller(to, bytes);
-  update_due(to, connection);
+  update_close_check(to, connection);
   return to;
 }
 
@@ -352,8 +352,8 @@
 }
 
 void CallerSide::report_end(std::uint64_t id, int cause, double now) {
-  const auto own = established_.find(id);
-  ConnectionId to = own != established_.end() ? own->second : preferred_for_ends_;
+  const auto found = established_.find(id);
+  ConnectionId to = found != established_.end() ? found->second : preferred_for_ends_;
   remove_established(id, now);
   if (to == 0) {
     std::pair<bool, double> best{false, -1};
--- a/src/platform/caller_side.hpp
+++ b/src/platform/caller_side.hpp
@@ -43,7 +43,7 @@
   // The caller abandons a set-up or releases an established call. Returns false if the call is unknown.
   virtual bool hang_up(std::uint64_t id) = 0;
   // Logs an invalid message.
-  virtual void caller_fault(ConnectionId from, const char* what) = 0;
+  virtual void caller_fault(ConnectionId from, const char* error) = 0;
   // Logs that the caller side closes a connection with this many established calls on it.
   virtual void caller_closed(ConnectionId which, CloseReason reason, std::size_t established) = 0;
   // Logs that the end of an established call was written to a connection; 0: queued until there is one.
@@ -120,7 +120,7 @@
     bool had_answer = false;   // a set-up was answered on it, so it surely belongs to a caller
     std::uint32_t faults = 0;
     std::uint32_t close_delays = 0;  // times that its close was delayed because of unread bytes
-    double due = std::numeric_limits<double>::infinity();  // its key in due_
+    double close_check_at = std::numeric_limits<double>::infinity();  // as in close_checks_
   };
   struct PendingEnd {
     std::uint64_t id = 0;
@@ -131,7 +131,7 @@
   void handle_message(ConnectionId from, const CallerMessage& message, double now);
   void handle_setup(ConnectionId from, const CallerMessage& message, double now);
   // Answers an invalid message, and closes a connection that keeps sending them.
-  void handle_fault(ConnectionId from, std::uint64_t id, const char* what);
+  void handle_fault(ConnectionId from, std::uint64_t id, const char* error);
   void close(ConnectionId which, CloseReason reason);
   bool delay_close(ConnectionId which, double now);
   void send_end(std::uint64_t id, int cause, ConnectionId to, double now);
@@ -145,15 +145,15 @@
   Connection* find(ConnectionId which);
   // Records that the connection carries calls, and reports the pending ends on it.
   void accept_setup(ConnectionId which, Connection& connection, double now);
-  double compute_due(const Connection& connection) const;
-  void update_due(ConnectionId which, Connection& connection);
+  double compute_close_check(const Connection& connection) const;
+  void update_close_check(ConnectionId which, Connection& connection);
 
   CallerSideDelegate& delegate_;
   std::unordered_map<ConnectionId, Connection> connections_;
   std::unordered_map<std::uint64_t, ConnectionId> open_setups_;  // where each open set-up's answer goes
   std::unordered_map<std::uint64_t, ConnectionId>
-      established_;                                // where each established call came, while open
-  std::set<std::pair<double, ConnectionId>> due_;  // when to check each connection for closing
+      established_;                                         // where each established call came, while open
+  std::set<std::pair<double, ConnectionId>> close_checks_;  // when to check each connection for closing
   bool shutting_down_ = false;
   // Where the ends of calls without a connection of their own are reported; 0: not chosen.
   ConnectionId preferred_for_ends_ = 0;
--- a/src/platform/config.cpp
+++ b/src/platform/config.cpp
@@ -59,16 +59,16 @@
   return value;
 }
 
-json parse_object(const std::string& file) {
-  json parsed = json::parse(file, nullptr, false);
+json parse_object(const std::string& json_text) {
+  json parsed = json::parse(json_text, nullptr, false);
   if (!parsed.is_object()) fail("not a JSON object");
   return parsed;
 }
 
 }  // namespace
 
-Config parse_config(const std::string& file) {
-  const json parsed = parse_object(file);
+Config parse_config(const std::string& json_text) {
+  const json parsed = parse_object(json_text);
   Config out;
   out.name = text(parsed, "name");
   out.listen = net::parse_address(text(parsed, "listen"));
@@ -126,8 +126,8 @@
   return out;
 }
 
-net::Address parse_bus_address(const std::string& file) {
-  return net::parse_address(text(parse_object(file), "bus"));
+net::Address parse_bus_address(const std::string& json_text) {
+  return net::parse_address(text(parse_object(json_text), "bus"));
 }
 
 }  // namespace mintrock::platform
--- a/src/platform/config.hpp
+++ b/src/platform/config.hpp
@@ -31,13 +31,13 @@
   std::vector<std::string> kind_names;
   double connect_timeout_s = 0.5;
   std::uint32_t max_open_calls = 20000;
-  std::vector<TopologyEvent> known_servers;
-  std::uint64_t list_offset = 0;  // number of the last event in known_servers
+  std::vector<TopologyEvent> known_servers;  // list updates from before the start, to be applied in order
+  std::uint64_t list_offset = 0;             // number of the last event in known_servers
 };
 
-Config parse_config(const std::string& text);
-// Returns only the event bus's address, for a reload of the configuration file.
-net::Address parse_bus_address(const std::string& text);
+Config parse_config(const std::string& json_text);
+// Parses the event bus's address only, for a reload of the configuration file.
+net::Address parse_bus_address(const std::string& json_text);
 
 }  // namespace mintrock::platform
 
--- a/src/platform/core_codec.hpp
+++ b/src/platform/core_codec.hpp
@@ -21,8 +21,8 @@
   std::uint64_t id = 0;
   int cause = 0;  // of a release
   std::string description;
-  std::string note;
-  double waited_s = 0;
+  std::string note;     // reason for a release before the answer, in the server's terms
+  double waited_s = 0;  // how long the call waited at the server
   Report report;
 };
 
@@ -39,7 +39,7 @@
   bool too_long_ = false;
 };
 
-// Parses a message from a core server. Returns nothing and sets `error` if the line is malformed.
+// Parses a message from a core server. Returns nullopt and sets `error` if the line is malformed.
 std::optional<CoreMessage> read_core_message(std::string_view line, const char*& error);
 
 // Parses a load report such as "spare:12;total:40"; unknown names and negative values are ignored.
--- a/src/platform/core_connections.cpp
+++ b/src/platform/core_connections.cpp
@@ -9,8 +9,8 @@
 namespace mintrock::platform {
 namespace {
 
-// Connections kept open to a ready server: it sends the state of its trunk group on them. As many retired
-// ones are kept at most.
+// Connections kept open to a ready server: it sends the state of its trunk group on them. At most as many
+// retired ones are kept.
 constexpr std::size_t kMinConnections = 2;
 // Delay until a lost connection is reopened; doubles up to the maximum.
 constexpr double kInitialRetryDelay = 0.1;  // s
@@ -101,7 +101,7 @@
 
 void CoreConnections::send_release(std::uint64_t id, ConnectionId on, double now) {
   std::deque<SentRelease>& sent_releases = connections_.at(on).sent_releases;
-  while (!sent_releases.empty() && (sent_releases.front().at + kReleaseUnconfirmed <= now ||
+  while (!sent_releases.empty() && (sent_releases.front().sent_at + kReleaseUnconfirmed <= now ||
                                     sent_releases.size() >= kMaxSentReleases)) {
     sent_releases.pop_front();
   }
@@ -112,7 +112,8 @@
 std::size_t CoreConnections::unconfirmed_releases(double now) const {
   std::size_t count = 0;
   for (const auto& [which, connection] : connections_) {
-    for (const SentRelease& each : connection.sent_releases) count += now < each.at + kReleaseUnconfirmed;
+    for (const SentRelease& each : connection.sent_releases)
+      count += now < each.sent_at + kReleaseUnconfirmed;
   }
   return count;
 }
@@ -123,7 +124,7 @@
     if (established_.erase(id) != 0) send_or_queue_release(id, 0, now);
     return;
   }
-  const ConnectionId on = found->second.on;
+  const ConnectionId on = found->second.connection;
   const bool written = found->second.written;
   if (written) add_unconfirmed(found->second.attempt, id, now);
   in_flight_.erase(found);
@@ -274,12 +275,12 @@
   // A retired connection loses no end: the server saw the half-close and wrote all it had before it closed.
   if (!lost.retired || loss == ConnectionLoss::kUnreadable) missed_ends_.suspect_loss();
   // If the address refuses connections and none is open, the process is gone and its established calls were
-  // cut. While one is open, it may be a draining server that finishes its calls, unless it has shown for too
-  // long no sign of serving.
+  // cut. While one is open, it may be a draining server that finishes its calls, unless it has shown no
+  // sign of serving for too long.
   const bool not_serving = any_usable() == 0 || now >= last_serving_at_ + kGoneTimeout;
   refused_ = refused_ || refused;
-  // Connections are accepted and closed without a single line: something else accepts them in place of a
-  // process that is gone.
+  // Connections are accepted but closed without a single line: the process is gone, and something else
+  // accepts connections at its address.
   const bool closed_silently =
       lost.up && !lost.line_received && any_usable() == 0 && now >= last_line_at_ + kGoneTimeout;
   const bool process_gone =
@@ -293,7 +294,7 @@
     abandon_attempts(now);
   }
   for (const SentRelease& each : lost.sent_releases) {
-    if (process_gone || each.at + kReleaseUnconfirmed <= now) continue;
+    if (process_gone || each.sent_at + kReleaseUnconfirmed <= now) continue;
     // A later attempt of the call is in flight at this server, or has established it: it must not be
     // released.
     if (in_flight_.count(each.id) != 0 || established_.count(each.id) != 0) continue;
@@ -312,7 +313,7 @@
 void CoreConnections::abandon_attempts(double now) {
   std::vector<std::uint64_t> written;
   for (const auto& [id, entry] : in_flight_) {
-    if (entry.written && connections_.count(entry.on) != 0) written.push_back(id);
+    if (entry.written && connections_.count(entry.connection) != 0) written.push_back(id);
   }
   for (const std::uint64_t id : written) {
     const auto found = in_flight_.find(id);
@@ -409,7 +410,7 @@
 MessageOwner CoreConnections::find_owner(ConnectionId from, std::uint64_t id) const {
   const auto entry = in_flight_.find(id);
   // A message on another connection than the attempt's own belongs to an earlier attempt.
-  if (entry != in_flight_.end() && entry->second.on == from && entry->second.written)
+  if (entry != in_flight_.end() && entry->second.connection == from && entry->second.written)
     return MessageOwner::kAttempt;
   if (established_.count(id) != 0) return MessageOwner::kEstablishedCall;
   if (connections_.at(from).abandoned.count(id) != 0) return MessageOwner::kAbandoned;
@@ -519,7 +520,8 @@
   if (unreachable_since_ >= 0 && now >= last_activity_ + kGoneTimeout)
     declare_gone("no connection is established", now);
   if (now >= silence_deadline()) declare_gone("silent since it left the list or lost its address", now);
-  while (!pending_releases_.empty() && pending_releases_.front().until <= now) pending_releases_.pop_front();
+  while (!pending_releases_.empty() && pending_releases_.front().expires_at <= now)
+    pending_releases_.pop_front();
   close_retired_connections(now);
   maintain_connections(now);
   if (now < next_probe_at()) return;
--- a/src/platform/core_connections.hpp
+++ b/src/platform/core_connections.hpp
@@ -4,7 +4,7 @@
 // Pure: does no I/O and reads no clock; it takes bytes and times, and calls CoreConnectionsDelegate. Closing
 // a connection fails every set-up on it, so each set-up gets a connection of its own while the limit allows
 // it, and a corrupt answer fails few others. Established calls belong to no connection: they end when the
-// server says so on any connection, or when the server is known to be gone.
+// server reports their end on any connection, or when it is known to be gone.
 #ifndef MINTROCK_SRC_PLATFORM_CORE_CONNECTIONS_HPP_
 #define MINTROCK_SRC_PLATFORM_CORE_CONNECTIONS_HPP_
 
@@ -118,7 +118,7 @@
 
   // ---- From the call manager ----
   void set_up(const AttemptId& attempt, std::uint64_t id, std::string message, double now);
-  // Frees what the server holds of the call: abandons a set-up, or releases an established call.
+  // Abandons the set-up in flight of the call, or releases the established call.
   void release_call(std::uint64_t id, double now);
   // Adds a call that its caller reports to be established at this server already.
   void take_over(std::uint64_t id) {
@@ -152,7 +152,7 @@
  private:
   struct SentRelease {
     std::uint64_t id = 0;
-    double at = 0;
+    double sent_at = 0;
   };
   struct Connection {
     bool up = false;
@@ -171,7 +171,7 @@
   // A set-up that is not answered yet; `message` is kept until it is written.
   struct InFlight {
     AttemptId attempt;
-    ConnectionId on = 0;
+    ConnectionId connection = 0;
     bool written = false;
     std::string message;
   };
@@ -183,7 +183,7 @@
   };
   struct PendingRelease {
     std::uint64_t id = 0;
-    double until = 0;
+    double expires_at = 0;
   };
 
   Connection& open_connection(double now);
--- a/src/platform/platform_edge.cpp
+++ b/src/platform/platform_edge.cpp
@@ -34,9 +34,9 @@
 constexpr std::size_t kMaxTakenOver = 20000;
 
 constexpr double kAcceptAfterDrain = 0.9;  // s after SIGTERM during which new calls are still accepted
-// After SIGTERM the process has the longest deadline of the call classes to end, or kMaxDrain, whichever is
-// shorter; it is killed 0.7 s after that at the earliest. It ends by itself kDrainMargin after that time, a
-// little before the kill.
+// After SIGTERM the platform waits for the longest deadline of the call classes or for kMaxDrain, whichever
+// is shorter, and kills the process 0.7 s later at the earliest. The process exits by itself kDrainMargin
+// after that wait, a little before the kill.
 constexpr double kMaxDrain = 3.0;      // s
 constexpr double kDrainMargin = 0.45;  // s
 
@@ -50,17 +50,17 @@
       std::min<std::size_t>(config.max_open_calls, config.memory_mb * kCallsPerMegabyte));
 }
 
-// Returns the server's id in messages between proxies, whose local ids for it differ: 48 bits of a hash of
-// its identity.
+// Returns the server's id in messages between proxies: 48 bits of a hash of its identity, because each proxy
+// has local ids of its own.
 ServerId shared_server_id(const std::string& identity) {
   return XXH64(identity.data(), identity.size(), 0) & 0xFFFFFFFFFFFFu;
 }
 
 }  // namespace
 
-// A sixteenth is for the process itself, listeners, the bus (two connections while its address changes) and
-// datagrams; a quarter is for core servers; the rest is for callers, which usually hold at most a third of
-// all.
+// A sixteenth of the descriptors is reserved for the process itself, listeners, the bus (two connections
+// while its address changes) and datagrams, and a quarter for core servers. The rest is for callers, which
+// usually hold at most a third of all.
 DescriptorBudget::DescriptorBudget(std::uint32_t sockets)
     : callers(sockets - sockets / 4 - std::max(16u, sockets / 16)), core(sockets / 4) {}
 
@@ -174,7 +174,8 @@
   const auto time_left_ms = static_cast<std::uint32_t>(std::max(1.0, std::floor(give_up_after_s * 1000)));
   core->second.connections->set_up(
       {id, attempt}, call.id,
-      write_core_setup(call.id, call.service_class, call.number, time_left_ms, call.description), loop_.now());
+      write_core_setup(call.id, call.service_class, call.number, time_left_ms, call.description),
+      loop_.now());
   return edge::SendResult::kAccepted;
 }
 
@@ -194,15 +195,15 @@
   calls_.erase(found);
 }
 
-void PlatformEdge::send_gossip(std::uint32_t peer, const std::vector<GossipEntry>& hearsay) {
+void PlatformEdge::send_gossip(std::uint32_t peer, const std::vector<GossipEntry>& entries) {
   if (!datagrams_ || peer >= config_.peers.size()) return;
-  std::vector<GossipEntry> common;
-  for (const GossipEntry& each : hearsay) {
+  std::vector<GossipEntry> shared_entries;
+  for (const GossipEntry& each : entries) {
     const auto core = cores_.find(each.server);
     if (core == cores_.end()) continue;
-    common.push_back({shared_server_id(core->second.identity), each.wait_s, each.age_s});
+    shared_entries.push_back({shared_server_id(core->second.identity), each.wait_s, each.age_s});
   }
-  if (!common.empty()) datagrams_->send(instance::pack_gossip(common), config_.peers[peer]);
+  if (!shared_entries.empty()) datagrams_->send(instance::pack_gossip(shared_entries), config_.peers[peer]);
 }
 
 void PlatformEdge::log(const std::string& text) { log_event(info, "decision", {{"detail", text}}); }
@@ -223,8 +224,8 @@
                  callers_.received(id, bytes, loop_.now());
                  schedule_timer();
                },
-               [this, id](const std::string& why) {
-                 log_event(info, "caller_lost", {{"connection", std::to_string(id)}, {"detail", why}});
+               [this, id](const std::string& reason) {
+                 log_event(info, "caller_lost", {{"connection", std::to_string(id)}, {"detail", reason}});
                  caller_streams_.erase(id);
                  callers_.lost(id, loop_.now());
                  schedule_timer();
@@ -267,8 +268,8 @@
   // message.
   constexpr std::uint32_t kMaxTimeLeftMs = 4294967295u;
   if (setup.description.size() > kMaxMessageSize / 16 &&
-      write_core_setup(setup.id, setup.service_class, setup.number, kMaxTimeLeftMs, setup.description).size() >
-          kMaxMessageSize) {
+      write_core_setup(setup.id, setup.service_class, setup.number, kMaxTimeLeftMs, setup.description)
+              .size() > kMaxMessageSize) {
     return "set-up too large to forward";
   }
   const CallId id = call_manager_.next_call_id();
@@ -300,7 +301,7 @@
   if (taken_over_.size() >= kMaxTakenOver || unlisted_.size() >= kMaxUnlisted) {
     return "too many calls taken over";
   }
-  const ServerId server = book_.id_of(setup.established_server);
+  const ServerId server = server_table_.id_of(setup.established_server);
   CoreConnections* const connections = find_connections(server);
   taken_over_[setup.id] = connections == nullptr ? 0 : server;
   if (connections != nullptr) {
@@ -312,7 +313,7 @@
 }
 
 double PlatformEdge::unlisted_deadline() const {
-  return unlisted_.empty() ? std::numeric_limits<double>::infinity() : unlisted_.front().until;
+  return unlisted_.empty() ? std::numeric_limits<double>::infinity() : unlisted_.front().expires_at;
 }
 
 // Takes over the calls whose servers have been listed by now; those whose servers are still unlisted at the
@@ -321,13 +322,13 @@
   std::vector<std::uint64_t> expired;
   for (auto it = unlisted_.begin(); it != unlisted_.end();) {
     const auto taken = taken_over_.find(it->id);
-    const ServerId server = book_.id_of(it->identity);
+    const ServerId server = server_table_.id_of(it->identity);
     CoreConnections* const connections = find_connections(server);
     const bool pending = taken != taken_over_.end() && taken->second == 0;
     if (pending && connections != nullptr) {
       taken->second = server;
       connections->take_over(it->id);
-    } else if (pending && it->until > now) {
+    } else if (pending && it->expires_at > now) {
       ++it;
       continue;
     } else if (pending) {
@@ -354,8 +355,8 @@
   return true;
 }
 
-void PlatformEdge::caller_fault(ConnectionId, const char* what) {
-  log_event(warn, "caller_fault", {{"detail", what}});
+void PlatformEdge::caller_fault(ConnectionId, const char* error) {
+  log_event(warn, "caller_fault", {{"detail", error}});
 }
 
 void PlatformEdge::caller_closed(ConnectionId which, CloseReason reason, std::size_t established) {
@@ -386,7 +387,7 @@
   std::shared_ptr<net::Stream> stream;
   try {
     stream = net::Stream::connect(loop_, cores_.at(server).address, kMaxUnsent);
-  } catch (const std::exception& error) {  // no descriptor
+  } catch (const std::exception& error) {  // no file descriptor is available
     log_event(warn, "core_connect_failed", {{"detail", error.what()}});
     loop_.defer([this, id, server] {
       if (CoreConnections* const connections = find_connections(server))
@@ -539,8 +540,8 @@
   bus_ = std::make_unique<list::Client>(
       loop_, config_.bus, kBusPath, kBusRetryDelay, kBusSilenceTimeout, config_.seed,
       list::Client::Handlers{[this](const list::SseEvent& event) { on_event(event); },
-                             [](const std::string& why) {
-                               log_event(warn, "bus_lost", {{"detail", why}});
+                             [](const std::string& reason) {
+                               log_event(warn, "bus_lost", {{"detail", reason}});
                              }});
   bus_->resume_after(std::to_string(order_.last()));
   bus_->open();
@@ -560,7 +561,7 @@
   }
   if (decision == Decision::kResubscribe) {
     log_event(warn, "event_bad", {{"id", event.id}, {"detail", fault}});
-    loop_.defer([this] {  // not within a callback of the subscription that it replaces
+    loop_.defer([this] {  // a subscription must not be replaced within one of its own callbacks
       order_.on_resubscribed();
       bus_->resubscribe_after(std::to_string(order_.last()));
     });
@@ -569,21 +570,21 @@
 }
 
 void PlatformEdge::apply_update(const TopologyEvent& event) {
-  for (const std::string& fault : event.update.errors) log_event(warn, "host_malformed", {{"detail", fault}});
+  for (const std::string& error : event.update.errors) log_event(warn, "host_malformed", {{"detail", error}});
   const double now = loop_.now();
   const double wall = net::wall_now();
-  const ServerList moved = book_.retire_moved_servers(event.update);
-  if (!book_.apply(event.update)) return;
+  const ServerList moved = server_table_.retire_moved_servers(event.update);
+  if (!server_table_.apply(event.update)) return;
   if (!moved.entries.empty()) call_manager_.update_servers(moved, now);
   // The Controller is updated first: it must know which servers drain before queued set-ups are decided
   // again.
   call_manager_.update_servers(
-      book_.to_server_list(event.update,
-                           event.update.full ? ServerList::Mode::kFull : ServerList::Mode::kDelta, now, wall),
+      server_table_.to_server_list(
+          event.update, event.update.full ? ServerList::Mode::kFull : ServerList::Mode::kDelta, now, wall),
       now);
-  std::size_t alive = 0;
-  for (const auto& [id, entry] : book_.entries()) alive += entry.state != ServerEntry::State::kGone;
-  for (const auto& [id, entry] : book_.entries()) {
+  std::size_t listed = 0;
+  for (const auto& [id, entry] : server_table_.entries()) listed += entry.state != ServerEntry::State::kGone;
+  for (const auto& [id, entry] : server_table_.entries()) {
     if (entry.state == ServerEntry::State::kGone && cores_.count(id) == 0) continue;
     CoreServer& core = cores_[id];
     if (!core.connections) {
@@ -597,7 +598,7 @@
       }
       core.connections = std::make_unique<CoreConnections>(
           id,
-          CoreConnections::Settings{config_.connect_timeout_s, budget_.per_server(alive), config_.seed + id},
+          CoreConnections::Settings{config_.connect_timeout_s, budget_.per_server(listed), config_.seed + id},
           *this, core_counters_);
     }
     core.state = entry.state;
@@ -605,7 +606,7 @@
   }
   // An address belongs to the server that was last listed as ready there.
   for (const list::Entry& entry : event.update.entries) {
-    const auto latest = cores_.find(book_.id_of(entry.identity));
+    const auto latest = cores_.find(server_table_.id_of(entry.identity));
     if (latest == cores_.end() || entry.state != ServerEntry::State::kReady) continue;
     for (auto& [other, old] : cores_) {
       if (other != latest->first && old.address == latest->second.address)
@@ -615,7 +616,7 @@
   }
   resolve_unlisted(now);
   remove_departed_servers();
-  log_event(info, "list", {{"revision", std::to_string(event.offset)}, {"servers", std::to_string(alive)}});
+  log_event(info, "list", {{"revision", std::to_string(event.offset)}, {"servers", std::to_string(listed)}});
 }
 
 // Forgets servers that left the list and hold no calls.
@@ -627,37 +628,37 @@
     }
     // Closes the remaining connections.
     it->second.connections->set_state(ServerEntry::State::kGone, loop_.now());
-    book_.forget(it->first);
+    server_table_.forget(it->first);
     it = cores_.erase(it);
   }
 }
 
-// Logs the proxy's own counts, for comparison with what its core servers and callers saw.
+// Logs the proxy's counters, to be compared with those of its core servers and callers.
 void PlatformEdge::log_state() {
   constexpr double kInterval = 10.0;  // s
-  const edge::CallCounters& d = call_manager_.counters();
-  const CallerCounters& c = callers_.counters();
+  const edge::CallCounters& calls = call_manager_.counters();
+  const CallerCounters& callers = callers_.counters();
   const auto text = [](std::uint64_t value) { return std::to_string(value); };
   log_event(info, "state",
-            {{"offered", text(d.offered)},
-             {"stood", text(d.established)},
-             {"refused", text(d.refused)},
-             {"failed", text(d.failed)},
-             {"abandoned", text(d.abandoned)},
-             {"overdue", text(d.overdue)},
-             {"attempts", text(d.attempts)},
-             {"timed_out", text(d.timed_out)},
-             {"cancelled", text(d.cancelled)},
-             {"ended", text(d.ended + d.cut)},
+            {{"offered", text(calls.offered)},
+             {"stood", text(calls.established)},
+             {"refused", text(calls.refused)},
+             {"failed", text(calls.failed)},
+             {"abandoned", text(calls.abandoned)},
+             {"overdue", text(calls.overdue)},
+             {"attempts", text(calls.attempts)},
+             {"timed_out", text(calls.timed_out)},
+             {"cancelled", text(calls.cancelled)},
+             {"ended", text(calls.ended + calls.cut)},
              {"open", text(call_manager_.pending())},
              {"standing", text(call_manager_.established())},
              {"taken_over", text(taken_over_.size())},
              {"callers", text(callers_.connections())},
-             {"caller_faults", text(c.faults)},
-             {"closed_for_room", text(c.evicted)},
-             {"ends_kept", text(c.ends_queued)},
-             {"ends_dropped", text(c.ends_dropped)},
-             {"ends_repeated", text(c.ends_resent)},
+             {"caller_faults", text(callers.faults)},
+             {"closed_for_room", text(callers.evicted)},
+             {"ends_kept", text(callers.ends_queued)},
+             {"ends_dropped", text(callers.ends_dropped)},
+             {"ends_repeated", text(callers.ends_resent)},
              {"core_lost", text(core_counters_.lost)},
              {"core_refused", text(core_counters_.refused)},
              {"core_not_up", text(core_counters_.connect_timeouts)},
@@ -680,15 +681,15 @@
 
 void PlatformEdge::on_datagram(std::string_view bytes, net::Address from) {
   if (std::find(config_.peers.begin(), config_.peers.end(), from) == config_.peers.end()) return;
-  PeerNews update;
+  PeerNews gossip;
   for (const GossipEntry& each : instance::unpack_gossip(bytes)) {
     for (const auto& [id, core] : cores_) {
       if (shared_server_id(core.identity) == each.server)
-        update.entries.push_back({id, each.wait_s, each.age_s});
+        gossip.entries.push_back({id, each.wait_s, each.age_s});
     }
   }
-  if (update.entries.empty()) return;
-  call_manager_.on_peer_news(update, loop_.now());
+  if (gossip.entries.empty()) return;
+  call_manager_.on_peer_news(gossip, loop_.now());
   schedule_timer();
 }
 
@@ -720,10 +721,11 @@
 void PlatformEdge::drain() {
   if (draining_) return;
   draining_ = true;
-  double longest = 0;
-  for (const auto& each : config_.instance.settings.classes) longest = std::max(longest, each.deadline_s);
+  double longest_deadline = 0;
+  for (const auto& each : config_.instance.settings.classes)
+    longest_deadline = std::max(longest_deadline, each.deadline_s);
   accept_until_ = loop_.now() + kAcceptAfterDrain;
-  drain_until_ = std::max(accept_until_, loop_.now() + std::min(kMaxDrain, longest) + kDrainMargin);
+  drain_until_ = std::max(accept_until_, loop_.now() + std::min(kMaxDrain, longest_deadline) + kDrainMargin);
   log_event(info, "draining", {{"open", std::to_string(call_manager_.pending())}});
   continue_drain();
 }
@@ -734,8 +736,8 @@
 void PlatformEdge::continue_drain() {
   constexpr double kPollInterval = 0.02;  // s
   const double now = loop_.now();
-  if (now >= accept_until_ && !leaving_) {
-    leaving_ = true;
+  if (now >= accept_until_ && !listener_closed_) {
+    listener_closed_ = true;
     listener_->accept_pending();
     listener_.reset();
     callers_.begin_shutdown();
@@ -748,7 +750,7 @@
   std::size_t releases = 0;
   for (const auto& [id, core] : cores_)
     releases += core.connections->pending_releases() + core.connections->unconfirmed_releases(now);
-  const bool callers_gone = leaving_ && callers_.connections() == 0 && loop_.closing() == 0;
+  const bool callers_gone = listener_closed_ && callers_.connections() == 0 && loop_.closing() == 0;
   // An end that is received now can only be sent by the next process: it must not be delayed for the sake of
   // unconfirmed releases.
   const bool done = callers_gone && (releases == 0 || callers_.pending_ends() > 0);
--- a/src/platform/platform_edge.hpp
+++ b/src/platform/platform_edge.hpp
@@ -76,7 +76,7 @@
   void release(CallId call, std::uint32_t attempt, ServerId server) override;
   void forget(CallId call) override;
   void subscribe() override {}  // the event bus is read from the start
-  void send_gossip(std::uint32_t peer, const std::vector<GossipEntry>& hearsay) override;
+  void send_gossip(std::uint32_t peer, const std::vector<GossipEntry>& entries) override;
   void log(const std::string& text) override;
 
   // ---- CallerSideDelegate ----
@@ -86,7 +86,7 @@
   const char* offer(CallSetup setup) override;
   const char* take_over(const CallSetup& setup) override;
   bool hang_up(std::uint64_t id) override;
-  void caller_fault(ConnectionId from, const char* what) override;
+  void caller_fault(ConnectionId from, const char* error) override;
   void caller_closed(ConnectionId which, CloseReason reason, std::size_t established) override;
   void end_reported(std::uint64_t id, ConnectionId to) override;
 
@@ -122,7 +122,7 @@
   std::string identity(ServerId server) const;  // the server's name in the list; empty if unknown
   void remove_departed_servers();
   void log_state();       // periodically
-  void schedule_timer();  // one timer of the loop serves the deadlines of all parts
+  void schedule_timer();  // sets one timer of the event loop to the earliest deadline of all parts
 
   net::Loop& loop_;
   Config config_;
@@ -130,7 +130,7 @@
   DescriptorBudget budget_;
   edge::CallManager call_manager_;
   CallerSide callers_;
-  list::ServerTable book_;
+  list::ServerTable server_table_;
   list::EventOrder order_;
   std::map<ServerId, CoreServer> cores_;
   CoreCounters core_counters_;
@@ -142,7 +142,7 @@
   std::unordered_map<std::uint64_t, ServerId> taken_over_;  // calls established before this process started
   // The entries of taken_over_ at servers that are not listed yet; their ServerId is 0 meanwhile.
   struct Unlisted {
-    double until = 0;
+    double expires_at = 0;
     std::uint64_t id = 0;
     std::string identity;
   };
@@ -159,7 +159,7 @@
   double drain_until_ = 0;
   double accept_until_ = 0;
   bool draining_ = false;
-  bool leaving_ = false;
+  bool listener_closed_ = false;
 };
 
 }  // namespace mintrock::platform
--- a/src/platform/topology.cpp
+++ b/src/platform/topology.cpp
@@ -42,8 +42,8 @@
 
 }  // namespace
 
-TopologyEvent parse_topology_event(const std::string& event, const std::vector<std::string>& kinds) {
-  const json parsed = json::parse(event, nullptr, false);
+TopologyEvent parse_topology_event(const std::string& json_text, const std::vector<std::string>& kinds) {
+  const json parsed = json::parse(json_text, nullptr, false);
   if (!parsed.is_object()) throw std::runtime_error("the event is not a JSON object");
   TopologyEvent out;
   const auto offset = parsed.find("offset");
--- a/src/platform/topology.hpp
+++ b/src/platform/topology.hpp
@@ -1,6 +1,6 @@
 // Parses and checks the event bus's updates of the list of core servers.
 //
-// Pure: does no I/O and reads no clock. A malformed entry is left out and reported in the update's faults;
+// Pure: does no I/O and reads no clock. A malformed entry is left out and reported in the update's errors;
 // text that is not an event throws std::runtime_error.
 #ifndef MINTROCK_SRC_PLATFORM_TOPOLOGY_HPP_
 #define MINTROCK_SRC_PLATFORM_TOPOLOGY_HPP_
@@ -19,7 +19,7 @@
 };
 
 // `kinds` are the names of the machine kinds; an entry's kind is its index there.
-TopologyEvent parse_topology_event(const std::string& json, const std::vector<std::string>& kinds);
+TopologyEvent parse_topology_event(const std::string& json_text, const std::vector<std::string>& kinds);
 
 }  // namespace mintrock::platform
 
