--- a/src/fleet/gossip.hpp
+++ b/src/fleet/gossip.hpp
@@ -1,7 +1,7 @@
 // Gossip between the proxies of a fleet: protobuf datagrams with the waits at core servers.
 //
-// Pure: does no I/O and reads no clock. Messages are checked before they are used; no rule depends on their
-// content.
+// Pure: does no I/O and reads no clock. Messages are checked before they are used, and no rule of the
+// controller depends on their content.
 #ifndef MINTROCK_SRC_FLEET_GOSSIP_HPP_
 #define MINTROCK_SRC_FLEET_GOSSIP_HPP_
 
@@ -24,6 +24,7 @@
 // Writes the messages of one proxy.
 class Writer {
  public:
+  // `boot` must be larger at each start of the proxy.
   Writer(std::uint32_t own_number, std::uint64_t boot) : own_number_(own_number), boot_(boot) {}
   // `identity` returns the name of a server. Servers without a name and entries that do not fit are omitted.
   std::string pack(const std::vector<GossipEntry>& entries,
@@ -41,8 +42,8 @@
   Reader(std::uint32_t own_number, std::uint32_t fleet_size)
       : own_number_(own_number), fleet_size_(fleet_size) {}
   // `expected` is the number of the proxy that has the sender's address. Returns nullopt, with the reason in
-  // `error`, if the message is malformed, of another version, from a proxy other than it claims, a duplicate,
-  // or older than one already read. Servers for which `id_of` returns 0 are omitted.
+  // `error`, if the message is malformed, has another version, names a sender other than `expected`, or is a
+  // duplicate of or older than one already read. Servers for which `id_of` returns 0 are omitted.
   std::optional<PeerNews> read(std::string_view bytes, std::uint32_t expected,
                                const std::function<ServerId(const std::string&)>& id_of, std::string& error);
 
--- a/src/instance/bytes.cpp
+++ b/src/instance/bytes.cpp
@@ -36,7 +36,7 @@
   return value;
 }
 
-std::uint64_t Reader::bits(std::size_t width) {
+std::uint64_t Reader::integer(std::size_t width) {
   const std::string_view raw = bytes(width);
   std::uint64_t value = 0;
   for (const char c : raw) value = value << 8 | static_cast<unsigned char>(c);
@@ -70,7 +70,7 @@
   return raw == 1;
 }
 
-void Writer::bits(std::uint64_t v, std::size_t width) {
+void Writer::integer(std::uint64_t v, std::size_t width) {
   for (std::size_t i = width; i-- > 0;) out_.push_back(static_cast<char>(v >> (8 * i) & 0xFF));
 }
 
--- a/src/instance/bytes.hpp
+++ b/src/instance/bytes.hpp
@@ -31,10 +31,10 @@
  public:
   explicit Reader(std::string_view data) : data_(data) {}
   bool done() const { return at_ == data_.size(); }
-  std::uint8_t u8() { return static_cast<std::uint8_t>(bits(1)); }
-  std::uint16_t u16() { return static_cast<std::uint16_t>(bits(2)); }
-  std::uint32_t u32() { return static_cast<std::uint32_t>(bits(4)); }
-  std::uint64_t u64() { return bits(8); }
+  std::uint8_t u8() { return static_cast<std::uint8_t>(integer(1)); }
+  std::uint16_t u16() { return static_cast<std::uint16_t>(integer(2)); }
+  std::uint32_t u32() { return static_cast<std::uint32_t>(integer(4)); }
+  std::uint64_t u64() { return integer(8); }
   float f32();
   double f64();
   bool boolean();
@@ -42,7 +42,7 @@
   std::size_t remaining() const { return data_.size() - at_; }
 
  private:
-  std::uint64_t bits(std::size_t width);
+  std::uint64_t integer(std::size_t width);  // `width` in bytes
   std::string_view data_;
   std::size_t at_ = 0;
 };
@@ -50,17 +50,17 @@
 // Appends big-endian values to a string.
 class Writer {
  public:
-  void u8(std::uint8_t v) { bits(v, 1); }
-  void u16(std::uint16_t v) { bits(v, 2); }
-  void u32(std::uint32_t v) { bits(v, 4); }
-  void u64(std::uint64_t v) { bits(v, 8); }
+  void u8(std::uint8_t v) { integer(v, 1); }
+  void u16(std::uint16_t v) { integer(v, 2); }
+  void u32(std::uint32_t v) { integer(v, 4); }
+  void u64(std::uint64_t v) { integer(v, 8); }
   void f32(float v);
   void f64(double v);
   void bytes(std::string_view v) { out_.append(v); }
   const std::string& str() const { return out_; }
 
  private:
-  void bits(std::uint64_t v, std::size_t width);
+  void integer(std::uint64_t v, std::size_t width);  // `width` in bytes
   std::string out_;
 };
 
--- a/src/instance/settings.cpp
+++ b/src/instance/settings.cpp
@@ -95,8 +95,8 @@
 
 }  // namespace
 
-InstanceSettings parse_settings(PathValues path_values) {
-  const SettingsReader reader(std::move(path_values));
+InstanceSettings parse_settings(PathValues pairs) {
+  const SettingsReader reader(std::move(pairs));
   InstanceSettings out;
   Settings& s = out.settings;
   s.classes.resize(reader.count("classes"));
--- a/src/list/event_order.hpp
+++ b/src/list/event_order.hpp
@@ -15,7 +15,8 @@
   enum class Decision { kApply, kSkip, kResubscribe };
   explicit EventOrder(std::uint64_t last) : last_(last) {}
 
-  // Decides about the event with this number. A full list can be applied without the events before it.
+  // Returns what to do with the event of this number. A full list can be applied without the events before
+  // it.
   Decision classify(std::uint64_t number, bool full) {
     if (resubscribing_ || number <= last_) return Decision::kSkip;
     if (number > last_ + 1 && !full && resubscriptions_ < kMaxResubscriptions) return resubscribe();
--- a/src/list/server_list.cpp
+++ b/src/list/server_list.cpp
@@ -57,8 +57,8 @@
 
 }  // namespace
 
-Update parse_update(const std::string& text) {
-  const json parsed = json::parse(text, nullptr, false);
+Update parse_update(const std::string& json_text) {
+  const json parsed = json::parse(json_text, nullptr, false);
   if (!parsed.is_object()) throw std::runtime_error("the list event is not a JSON object");
   Update update;
   const auto revision = parsed.find("revision");
@@ -138,8 +138,8 @@
 void ServerTable::forget(ServerId server) {
   const auto found = entries_.find(server);
   if (found == entries_.end()) return;
-  const auto named = ids_.find(found->second.identity);
-  if (named != ids_.end() && named->second == server) ids_.erase(named);
+  const auto id_entry = ids_.find(found->second.identity);
+  if (id_entry != ids_.end() && id_entry->second == server) ids_.erase(id_entry);
   entries_.erase(found);
 }
 
@@ -148,16 +148,16 @@
   out.mode = ServerList::Mode::kDelta;
   if (update.revision < revision_) return out;
   for (const Entry& entry : update.entries) {
-    const auto named = ids_.find(entry.identity);
-    if (named == ids_.end() || entry.state != ServerEntry::State::kReady) continue;
-    Entry& known = entries_[named->second];
+    const auto id_entry = ids_.find(entry.identity);
+    if (id_entry == ids_.end() || entry.state != ServerEntry::State::kReady) continue;
+    Entry& known = entries_[id_entry->second];
     if (known.address == entry.address) continue;
     known.state = ServerEntry::State::kGone;
     ServerEntry gone;
-    gone.id = named->second;
+    gone.id = id_entry->second;
     gone.state = ServerEntry::State::kGone;
     out.entries.push_back(gone);
-    ids_.erase(named);
+    ids_.erase(id_entry);
   }
   return out;
 }
--- a/src/list/server_list.hpp
+++ b/src/list/server_list.hpp
@@ -35,7 +35,7 @@
 
 // Parses the JSON of one event. A malformed entry is omitted and reported in `errors`. Throws
 // std::runtime_error if the text is not a list event at all.
-Update parse_update(const std::string& json);
+Update parse_update(const std::string& json_text);
 std::string print_update(const Update& update);
 
 // The core servers known from the list. Each identity gets an id, which is never given to another one.
