--- a/tests/fleet/cold_test.cpp
+++ b/tests/fleet/cold_test.cpp
@@ -18,9 +18,9 @@
 namespace mintrock {
 namespace {
 
-constexpr ServerId kNew = 100;      // a new server with a new id
-constexpr ServerId kRestarted = 1;  // a server that restarts under its id
-constexpr double kCapacity = 40;    // calls/s of a warm server
+constexpr ServerId kNewServer = 100;      // a new server with a new id
+constexpr ServerId kRestartedServer = 1;  // a server that restarts under its id
+constexpr double kCapacity = 40;          // calls/s of a warm server
 constexpr int kWarmServers = 8;
 constexpr Time kServerStart = 12;
 constexpr Time kEnd = 24;
@@ -37,9 +37,9 @@
  public:
   Fleet(std::uint32_t size, std::uint64_t seed, bool list_has_starts)
       : settings_(fleet_settings(size)), random_(seed), list_has_starts_(list_has_starts), proxies_(size) {
-    std::lognormal_distribution<> uneven(0, 0.8);
+    std::lognormal_distribution<> share_distribution(0, 0.8);
     double sum = 0;
-    for (Proxy& each : proxies_) sum += each.share = uneven(random_);
+    for (Proxy& each : proxies_) sum += each.share = share_distribution(random_);
     for (std::uint32_t i = 0; i < size; ++i) {
       start(i);
       schedule(next_gap(proxies_[i].share / sum),
@@ -122,14 +122,14 @@
     ServerList list;
     const bool started = now_ >= kServerStart;  // a restarted proxy gets the newest list
     for (ServerId id = 1; id <= kWarmServers; ++id)
-      list.entries.push_back(entry(id, started && id == kRestarted));
-    if (started) list.entries.push_back(entry(kNew, true));
+      list.entries.push_back(entry(id, started && id == kRestartedServer));
+    if (started) list.entries.push_back(entry(kNewServer, true));
     handle(i, list);
   }
   void send_update(std::uint32_t i) {
     ServerList list;
     list.mode = ServerList::Mode::kDelta;
-    list.entries = {entry(kNew, true), entry(kRestarted, true)};
+    list.entries = {entry(kNewServer, true), entry(kRestartedServer, true)};
     handle(i, list);
   }
   void offer(std::uint32_t i, double share) {
@@ -146,7 +146,7 @@
     const std::uint32_t run = proxies_[i].run;
     for (const Action& action : actions) {
       if (const auto* send = std::get_if<SendSetup>(&action)) {
-        carry_out(i, run, *send);
+        simulate_setup(i, run, *send);
       } else if (const auto* timer = std::get_if<SetTimer>(&action)) {
         schedule(now_ + timer->after_s, [this, i, run, token = timer->token] {
           if (proxies_[i].run == run) handle(i, TimerFired{token});
@@ -154,9 +154,9 @@
       }
     }
   }
-  void carry_out(std::uint32_t i, std::uint32_t run, const SendSetup& send) {
+  void simulate_setup(std::uint32_t i, std::uint32_t run, const SendSetup& send) {
     // Counts only set-ups of proxies that have received the update: the others can't know of the start.
-    if (now_ >= kServerStart && (send.server == kNew || now_ >= proxies_[i].update_at || run > 1)) {
+    if (now_ >= kServerStart && (send.server == kNewServer || now_ >= proxies_[i].update_at || run > 1)) {
       arrivals_[send.server].push_back(now_);
     }
     const std::uint32_t attempt = proxies_[i].attempts[send.call]++;
@@ -186,7 +186,7 @@
   std::size_t established_ = 0;
   std::vector<Proxy> proxies_;
   std::priority_queue<ScheduledEvent> events_;
-  std::map<ServerId, std::vector<Time>> arrivals_{{kNew, {}}, {kRestarted, {}}};
+  std::map<ServerId, std::vector<Time>> arrivals_{{kNewServer, {}}, {kRestartedServer, {}}};
 };
 
 class ColdFleet : public testing::TestWithParam<std::uint32_t> {};
@@ -196,11 +196,11 @@
   double max_share = 0;
   for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
     const Fleet fleet(GetParam(), seed, true);
-    for (const ServerId server : {kNew, kRestarted}) {
+    for (const ServerId server : {kNewServer, kRestartedServer}) {
       EXPECT_LE(fleet.max_window_share(server), 1) << "seed " << seed << ", server " << server;
       max_share = std::max(max_share, fleet.max_window_share(server));
     }
-    EXPECT_GT(fleet.attempts_at(kNew), 0u) << "the server gets no calls";
+    EXPECT_GT(fleet.attempts_at(kNewServer), 0u) << "the server gets no calls";
     EXPECT_GT(fleet.established(), 1000u);
   }
   RecordProperty("worst_share_of_bound", std::to_string(max_share));
@@ -212,7 +212,7 @@
 // without the limit.
 TEST_P(ColdFleet, WithoutStartTimesTheFleetOverloadsTheServer) {
   const Fleet fleet(GetParam(), 1, false);
-  EXPECT_GT(std::max(fleet.max_window_share(kNew), fleet.max_window_share(kRestarted)), 1);
+  EXPECT_GT(std::max(fleet.max_window_share(kNewServer), fleet.max_window_share(kRestartedServer)), 1);
 }
 
 INSTANTIATE_TEST_SUITE_P(Sizes, ColdFleet, testing::Values(30u, 300u));
--- a/tests/platform/caller_codec_test.cpp
+++ b/tests/platform/caller_codec_test.cpp
@@ -29,14 +29,14 @@
   return write_message(CallerMessageType::kSetup, id, parameters);
 }
 
-std::optional<CallSetup> read(const std::string& bytes, std::string& fault_name) {
+std::optional<CallSetup> read(const std::string& bytes, std::string& error) {
   MessageParser parser;
   parser.feed(bytes);
   const auto message = parser.next();
   const char* fault = parser.fault();
   std::optional<CallSetup> setup;
   if (message) setup = read_setup(*message, fault);
-  fault_name = fault == nullptr ? "" : fault;
+  error = fault == nullptr ? "" : fault;
   return setup;
 }
 
@@ -49,8 +49,8 @@
       EXPECT_FALSE(setup);
       parser.feed(std::string_view(bytes).substr(at, piece));
       if (const auto message = parser.next()) {
-        const char* fault_name = nullptr;
-        setup = read_setup(*message, fault_name);
+        const char* error = nullptr;
+        setup = read_setup(*message, error);
       }
     }
     ASSERT_TRUE(setup) << piece;
@@ -70,13 +70,13 @@
 }
 
 TEST(CallerCodec, ParsesSetupsOfCutAndEstablishedCalls) {
-  std::string fault_name;
-  auto setup = read(setup_bytes(5, {{Parameter::kAttributes, "dest:0;width:1;again:1"}}), fault_name);
+  std::string error;
+  auto setup = read(setup_bytes(5, {{Parameter::kAttributes, "dest:0;width:1;again:1"}}), error);
   ASSERT_TRUE(setup);
   EXPECT_TRUE(setup->was_cut);
-  setup = read(setup_bytes(5, {{Parameter::kAttributes, "at:s-00c41f7a"}, {Parameter::kDescription, ""}}),
-               fault_name);
-  ASSERT_TRUE(setup) << fault_name;
+  setup =
+      read(setup_bytes(5, {{Parameter::kAttributes, "at:s-00c41f7a"}, {Parameter::kDescription, ""}}), error);
+  ASSERT_TRUE(setup) << error;
   EXPECT_EQ(setup->established_server, "s-00c41f7a");
 }
 
@@ -107,17 +107,17 @@
                             {{Parameter::kClass, "vo\xc0"}},
                             {{Parameter::kCalledNumber, std::string(300, '7')}}};
   for (const Parameters& each : bad) {
-    std::string fault_name;
-    EXPECT_FALSE(read(setup_bytes(5, each), fault_name)) << each[0].second;
-    EXPECT_FALSE(fault_name.empty()) << each[0].second;
+    std::string error;
+    EXPECT_FALSE(read(setup_bytes(5, each), error)) << each[0].second;
+    EXPECT_FALSE(error.empty()) << each[0].second;
   }
-  std::string fault_name;
-  EXPECT_FALSE(read(setup_bytes(0), fault_name));
-  EXPECT_EQ(fault_name, "missing call id");
+  std::string error;
+  EXPECT_FALSE(read(setup_bytes(0), error));
+  EXPECT_EQ(error, "missing call id");
   EXPECT_FALSE(
       read(write_message(CallerMessageType::kSetup, 5, {{Parameter::kClass, "a"}, {Parameter::kClass, "b"}}),
-           fault_name));
-  EXPECT_EQ(fault_name, "duplicate parameter");
+           error));
+  EXPECT_EQ(error, "duplicate parameter");
 }
 
 TEST(CallerCodec, MalformedFramesAreRejectedWithANamedFault) {
@@ -151,8 +151,8 @@
     for (int i = 0; i < 10; ++i) {
       const auto message = parser.next();
       if (!message) break;
-      const char* fault_name = nullptr;
-      read_setup(*message, fault_name);
+      const char* error = nullptr;
+      read_setup(*message, error);
     }
   }
 }
--- a/tests/platform/caller_side_test.cpp
+++ b/tests/platform/caller_side_test.cpp
@@ -35,7 +35,7 @@
     hung_up.push_back(id);
     return established.erase(id) != 0;
   }
-  void caller_fault(ConnectionId, const char* what) override { faults.push_back(what); }
+  void caller_fault(ConnectionId, const char* error) override { faults.push_back(error); }
   void caller_closed(ConnectionId, CloseReason, std::size_t) override {}
   void end_reported(std::uint64_t, ConnectionId) override {}
 
--- a/tests/platform/core_connections_test.cpp
+++ b/tests/platform/core_connections_test.cpp
@@ -1,4 +1,4 @@
-// CoreConnections against a scripted network, at virtual times.
+// Tests CoreConnections with a scripted network and virtual time.
 #include "platform/core_connections.hpp"
 
 #include <gtest/gtest.h>
@@ -43,7 +43,7 @@
     events.push_back((cut ? "cut " : "call ended ") + std::to_string(id));
   }
   void core_load_reported(ServerId, const Report& report) override { loads.push_back(report); }
-  void core_fault(ServerId, const char* what) override { faults.push_back(what); }
+  void core_fault(ServerId, const char* error) override { faults.push_back(error); }
   void core_unconfirmed_attempt_ended(const AttemptId& attempt) override {
     events.push_back("unconfirmed attempt ended " + std::to_string(attempt.call));
   }
@@ -322,7 +322,7 @@
 // Sockets, disco, seed 11: a process ended, its address refused connections, and one old connection stayed
 // open and quiet; its 60 calls were counted as established forever. Churn, seed 21: with calls cut at the
 // first refusal, 152 calls were released that were still established at draining servers. Trials with five
-// proxies: a process died with an answer pending. The set-up was reset and repeated at another server, and
+// proxies: a process ended with an answer pending. The set-up was reset and repeated at another server, and
 // the end of the call that the lost answer had established was never reported.
 TEST(CoreConnections, UnconfirmedAttemptsEndWithTheirProcess) {
   Fixture f;
@@ -534,16 +534,16 @@
     }
     ASSERT_EQ(f.retired.size(), 1u);
     const ConnectionId retired = std::exchange(f.retired, {})[0];
-    const ConnectionId settling = f.last_id;
-    f.connections.connected(settling, now);
-    f.send_state(settling, now);
+    const ConnectionId confirming = f.last_id;
+    f.connections.connected(confirming, now);
+    f.send_state(confirming, now);
     if (unreadable) {
       f.connections.received(retired, "noise\n", now);
     } else {
       f.connections.disconnected(retired, ConnectionLoss::kClosedByServer, now);
     }
-    f.send_states_until(settling, now, now + 4, [&] { return f.last_id > settling; });
-    EXPECT_EQ(f.last_id > settling, unreadable);
+    f.send_states_until(confirming, now, now + 4, [&] { return f.last_id > confirming; });
+    EXPECT_EQ(f.last_id > confirming, unreadable);
   }
 }
 
--- a/tests/platform/platform_edge_test.cpp
+++ b/tests/platform/platform_edge_test.cpp
@@ -1,4 +1,4 @@
-// PlatformEdge on loopback with a stand-in caller, core server and event bus on one event loop.
+// PlatformEdge on loopback, with a fake caller, core server and event bus on the same event loop.
 #include "platform/platform_edge.hpp"
 
 #include <arpa/inet.h>
@@ -27,16 +27,17 @@
       : listener(std::in_place, loop, net::Address{}, [this, &loop](int fd, net::Address from) {
           const auto stream = net::Stream::adopt(loop, fd, from, 1 << 20);
           streams.push_back(stream);
-          cutters.emplace_back();
+          splitters.emplace_back();
           const std::size_t index = streams.size() - 1;
           stream->set({{},
                        [this, index](std::string_view bytes) {
-                         cutters[index].feed(bytes);
-                         while (const auto line = cutters[index].next()) take(index, std::string(*line));
+                         splitters[index].feed(bytes);
+                         while (const auto line = splitters[index].next())
+                           handle_line(index, std::string(*line));
                        },
                        [this, index](const std::string&) { streams[index].reset(); }});
         }) {}
-  void take(std::size_t index, const std::string& line) {
+  void handle_line(std::size_t index, const std::string& line) {
     const json message = json::parse(line);
     received.push_back(message);
     if (message["type"] != "setup") return;
@@ -48,7 +49,7 @@
   void answer(std::size_t index, const std::string& id) {
     send(index, R"({"type":"answer","id":")" + id + R"(","fields":{},"sdp":"answer )" + id + "\"}");
   }
-  void die() {
+  void crash() {
     listener.reset();
     for (const auto& stream : streams) {
       if (stream) stream->reset();
@@ -61,7 +62,7 @@
     return out;
   }
   std::vector<std::shared_ptr<net::Stream>> streams;
-  std::deque<LineSplitter> cutters;
+  std::deque<LineSplitter> splitters;
   std::vector<json> received;
   std::function<void(std::size_t, const std::string&)> reply =
       [this](std::size_t index, const std::string& id) { answer(index, id); };
@@ -94,8 +95,8 @@
   explicit Caller(std::shared_ptr<net::Stream> on) : stream(std::move(on)) {
     stream->set({{},
                  [this](std::string_view bytes) {
-                   cutter.feed(bytes);
-                   while (const auto message = cutter.next()) {
+                   parser.feed(bytes);
+                   while (const auto message = parser.next()) {
                      received.push_back({message->type, message->call, read_cause(*message),
                                          std::string(message->find(Parameter::kDescription))});
                    }
@@ -103,17 +104,17 @@
                  [this](const std::string&) { closed = true; }});
   }
   void setup(std::uint64_t id, const char* service_class = "status", const char* left = "1500",
-             const char* figures = "dest:0;width:1;via:-1", const char* description = "offer") {
-    stream->write(setup_bytes(id, service_class, left, figures, description));
+             const char* attributes = "dest:0;width:1;via:-1", const char* description = "offer") {
+    stream->write(setup_bytes(id, service_class, left, attributes, description));
   }
   static std::string setup_bytes(std::uint64_t id, const char* service_class = "status",
-                                 const char* left = "1500", const char* figures = "dest:0;width:1;via:-1",
+                                 const char* left = "1500", const char* attributes = "dest:0;width:1;via:-1",
                                  const char* description = "offer") {
     return write_message(CallerMessageType::kSetup, id,
                          {{Parameter::kClass, service_class},
                           {Parameter::kTimeLeft, left},
                           {Parameter::kCalledNumber, "7f3a9c21e0b4d655"},
-                          {Parameter::kAttributes, figures},
+                          {Parameter::kAttributes, attributes},
                           {Parameter::kDescription, description}});
   }
   struct Message {
@@ -132,10 +133,10 @@
     for (const Message& each : received) out += each.call == call;
     return out;
   }
-  MessageParser cutter;
+  MessageParser parser;
   std::vector<Message> received;
   bool closed = false;
-  std::size_t asked = 0;  // set-ups sent, in tests that count them
+  std::size_t setups_sent = 0;  // in tests that count them
   std::shared_ptr<net::Stream> stream;
 };
 
@@ -270,11 +271,11 @@
   EXPECT_EQ(fixture.edge->calls(), 0u);
 }
 
-// A core server dies with an answer pending: the call may have been established there, and has ended then.
-TEST(PlatformEdge, CallFailsWhenServerDiesBeforeItsAnswer) {
+// A core server crashes with an answer pending: the call may have been established there and has then ended.
+TEST(PlatformEdge, CallFailsWhenServerCrashesBeforeItsAnswer) {
   Fixture fixture;
   fixture.core.reply = [&](std::size_t, const std::string&) {
-    fixture.loop.defer([&] { fixture.core.die(); });
+    fixture.loop.defer([&] { fixture.core.crash(); });
   };
   Caller caller(fixture.loop, fixture.edge->listening());
   caller.setup(7, "status", "2900");
@@ -443,18 +444,18 @@
   caller.setup(7);
   ASSERT_TRUE(fixture.until([&] { return caller.count(9) == 1 && !payloads.empty(); }));
   EXPECT_LE(payloads[0].size(), 256u);
-  std::vector<GossipEntry> hearsay = instance::unpack_gossip(payloads[0]);
-  ASSERT_EQ(hearsay.size(), 1u);
-  hearsay[0].wait_s = 30;  // of that server, just now
-  hearsay[0].age_s = 0;
-  unknown_peer->send(instance::pack_gossip(hearsay), own);
+  std::vector<GossipEntry> entries = instance::unpack_gossip(payloads[0]);
+  ASSERT_EQ(entries.size(), 1u);
+  entries[0].wait_s = 30;  // of that server, just now
+  entries[0].age_s = 0;
+  unknown_peer->send(instance::pack_gossip(entries), own);
   unknown_peer->send("noise", own);
   caller.setup(8);
   ASSERT_TRUE(fixture.until([&] { return caller.count(9) == 2; }))
       << "a datagram from an unknown address is ignored";
   peer->send("noise", own);
   peer->send(std::string(1000, 'x'), own);
-  peer->send(instance::pack_gossip(hearsay), own);
+  peer->send(instance::pack_gossip(entries), own);
   std::uint64_t id = 9;
   EXPECT_TRUE(fixture.until([&] {
     if (fixture.edge->callers().open_setups() == 0) caller.setup(id++);
@@ -462,7 +463,8 @@
   }));
 }
 
-// The end of a call of the previous process, and a call that was established before this process started.
+// The ends of calls that this process did not set up: a call of the previous process, and a call that its
+// caller reports as established.
 TEST(PlatformEdge, EndsOfPreviousProcessesCallsReachTheirCallers) {
   Fixture fixture;
   Caller caller(fixture.loop, fixture.edge->listening());
@@ -486,7 +488,7 @@
   EXPECT_TRUE(fixture.until([&] { return fixture.core.count("release") == 1; }));
 }
 
-// The proxy's counts of calls, attempts and established calls match the traffic on the sockets: answers,
+// The proxy's counters of calls, attempts and established calls match the traffic on the sockets: answers,
 // refusals, malformed lines, duplicates and cuts in turn.
 TEST(PlatformEdge, CountersMatchTraffic) {
   Fixture fixture;
@@ -532,13 +534,13 @@
     ends += 1;
     ASSERT_TRUE(fixture.until([&] { return fixture.edge->call_manager().counters().cut == ends; }));
   }
-  const edge::CallCounters& counts = fixture.edge->call_manager().counters();
+  const edge::CallCounters& counters = fixture.edge->call_manager().counters();
   ASSERT_TRUE(fixture.until([&] { return caller.received.size() == calls + ends; }));
-  EXPECT_EQ(counts.attempts, fixture.core.count("setup"));
-  EXPECT_EQ(counts.established, caller.count(9));
-  EXPECT_EQ(counts.refused + counts.failed + ends, caller.count(12));
+  EXPECT_EQ(counters.attempts, fixture.core.count("setup"));
+  EXPECT_EQ(counters.established, caller.count(9));
+  EXPECT_EQ(counters.refused + counters.failed + ends, caller.count(12));
   EXPECT_EQ(fixture.edge->call_manager().established(), established.size());
-  EXPECT_GT(counts.refused, 0u);
+  EXPECT_GT(counters.refused, 0u);
   EXPECT_GT(fixture.edge->core_counters().unreadable, 0u);
   EXPECT_GT(fixture.edge->core_counters().duplicate_answers, 0u);
 }
@@ -549,7 +551,8 @@
     Caller caller(fixture.loop, fixture.edge->listening());
     caller.setup(id);
     ASSERT_TRUE(fixture.until([&] { return caller.count_of(id) == 1; })) << id;
-    // The caller before closed at once, maybe with its call's end unread; only that end may be repeated here.
+    // The previous caller closed its connection at once, possibly with the end of its call unread. Only that
+    // end may be resent to this one.
     for (const Caller::Message& each : caller.received) {
       EXPECT_TRUE(each.call == id || (each.call < id && each.type == 12 && each.cause == 16)) << id;
     }
@@ -576,7 +579,8 @@
   const auto& requests = fixture.bus.requests;
   fixture.until(
       [&] { return requests.size() >= nth && requests[nth - 1].find("\r\n\r\n") != std::string::npos; });
-  if (requests.size() < nth) return testing::AssertionFailure() << "started " << requests.size() << " times";
+  if (requests.size() < nth)
+    return testing::AssertionFailure() << "subscribed " << requests.size() << " times";
   if (requests[nth - 1].find("Last-Event-ID: 1\r\n") != std::string::npos) return testing::AssertionSuccess();
   return testing::AssertionFailure() << requests[nth - 1];
 }
@@ -592,20 +596,21 @@
   EXPECT_TRUE(fixture.until([&] { return fixture.edge->servers() == 2; }));
 }
 
-// It is requested again after the last good one; an event that stays unreadable must not block the list
-// forever.
+// A malformed event is requested again, after the last valid one. An event that stays unreadable must not
+// block the list forever.
 TEST(PlatformEdge, RequestsMalformedEventAgainAndSkipsItAfterSeveralTries) {
   Fixture fixture;
-  std::size_t started = 0;
-  while (started < 10 && fixture.edge->servers() == 1) {
-    ASSERT_TRUE(subscribed(fixture, ++started));
-    fixture.bus.streams[started - 1]->write(
+  std::size_t subscriptions = 0;
+  while (subscriptions < 10 && fixture.edge->servers() == 1) {
+    ASSERT_TRUE(subscribed(fixture, ++subscriptions));
+    fixture.bus.streams[subscriptions - 1]->write(
         "id: 2\ndata: {\"offset\":2,\n\n" +
         fixture.event(3, json::array({serving("s-3", fixture.second, 1)})));
-    fixture.until([&] { return fixture.edge->servers() == 2 || fixture.bus.requests.size() > started; });
+    fixture.until(
+        [&] { return fixture.edge->servers() == 2 || fixture.bus.requests.size() > subscriptions; });
   }
   EXPECT_EQ(fixture.edge->servers(), 2u);
-  EXPECT_EQ(started, 4u);
+  EXPECT_EQ(subscriptions, 4u);
 }
 
 // An id at a new address is another process: new calls go there, calls established at the old one end there.
@@ -621,14 +626,14 @@
   ASSERT_TRUE(fixture.until([&] { return caller.count(9) == 2; }));
   EXPECT_EQ(fixture.second.count("setup"), 1u);
   EXPECT_EQ(fixture.core.count("setup"), 1u);
-  EXPECT_EQ(caller.count(12), 0u) << "the first call is established";
+  EXPECT_EQ(caller.count(12), 0u) << "the first call is still established";
   fixture.core.send(0, R"({"type":"release","id":"0000000000000007","fields":{},"cause":16})");
   ASSERT_TRUE(fixture.until([&] { return caller.count(12) == 1; }));
   EXPECT_EQ(caller.received.back().call, 7u);
   EXPECT_TRUE(fixture.until([&] { return fixture.edge->servers() == 1; })) << "the old server is forgotten";
 }
 
-// A new id at an old address, and then the old id there again.
+// A new id is listed at the address of another server, and then the old id there again.
 TEST(PlatformEdge, AddressBelongsToServerListedThereLast) {
   Fixture fixture;
   ASSERT_TRUE(subscribed(fixture, 1));
@@ -644,9 +649,9 @@
   EXPECT_TRUE(fixture.until([&] { return fixture.core.streams.size() > before; }));
   Caller caller(fixture.loop, fixture.edge->listening());
   EXPECT_TRUE(fixture.until([&] {
-    if (caller.received.size() == caller.asked) caller.setup(++caller.asked);
+    if (caller.received.size() == caller.setups_sent) caller.setup(++caller.setups_sent);
     return caller.count(9) == 1;
-  })) << "it is avoided for a while only";
+  })) << "the server is avoided only for a while";
 }
 
 // ---- Calls taken over ----
@@ -698,13 +703,12 @@
   address.sin_family = AF_INET;
   address.sin_addr.s_addr = htonl(to.ip);
   address.sin_port = htons(to.port);
-  bool ended = false;
+  bool listener_closed = false;
   // Connects and writes within one callback: the proxy sees neither before the next loop iteration.
-  std::function<void()> more = [&] {
+  std::function<void()> connect_next = [&] {
     const int fd = socket(AF_INET, SOCK_STREAM, 0);
-    ended =
-        connect(fd, reinterpret_cast<sockaddr*>(&address), sizeof address) != 0;  // the listener is closed
-    if (ended) {
+    listener_closed = connect(fd, reinterpret_cast<sockaddr*>(&address), sizeof address) != 0;
+    if (listener_closed) {
       close(fd);
       return;
     }
@@ -712,11 +716,11 @@
     ASSERT_EQ(send(fd, bytes.data(), bytes.size(), MSG_NOSIGNAL), static_cast<ssize_t>(bytes.size()));
     fcntl(fd, F_SETFL, O_NONBLOCK);
     callers.push_back(std::make_unique<Caller>(net::Stream::adopt(fixture.loop, fd, to, 1 << 20)));
-    fixture.loop.after(0.001, more);
+    fixture.loop.after(0.001, connect_next);
   };
-  fixture.loop.after(0.84, more);
+  fixture.loop.after(0.84, connect_next);
   EXPECT_LT(drain_time(fixture), 5);
-  EXPECT_TRUE(ended);
+  EXPECT_TRUE(listener_closed);
   EXPECT_GT(callers.size(), 10u);
   for (std::size_t i = 0; i < callers.size(); ++i) {
     EXPECT_TRUE(fixture.until([&] { return callers[i]->received.size() == 1; }, 2)) << i;
@@ -814,7 +818,7 @@
 // Once the caller has closed, reset or cancelled, no attempt starts for a set-up that is in flight or queued
 // for a later try.
 TEST(PlatformEdge, DoesNotSendQueuedSetupAfterCallerLeft) {
-  for (const int way : {0, 1, 2}) {
+  for (const int departure : {0, 1, 2}) {  // closed, reset, cancelled
     Fixture fixture;
     fixture.core.reply = {};
     Caller caller(fixture.loop, fixture.edge->listening());
@@ -822,14 +826,15 @@
     // Two are in flight; the others wait for a later try.
     ASSERT_TRUE(fixture.until([&] { return fixture.core.count("setup") >= 2; }));
     const std::size_t sent = fixture.core.count("setup");
-    if (way == 0) caller.stream->close();
-    if (way == 1) caller.stream->reset();
-    if (way == 2) {
+    if (departure == 0) caller.stream->close();
+    if (departure == 1) caller.stream->reset();
+    if (departure == 2) {
       for (std::uint64_t id = 1; id <= 4; ++id) caller.stream->write(write_release(id, 16));
     }
-    ASSERT_TRUE(fixture.until([&] { return fixture.edge->call_manager().pending() == 0; })) << way;
-    EXPECT_LE(fixture.core.count("setup"), sent) << way;
-    EXPECT_TRUE(fixture.until([&] { return fixture.core.count("release") == sent; })) << "released " << way;
+    ASSERT_TRUE(fixture.until([&] { return fixture.edge->call_manager().pending() == 0; })) << departure;
+    EXPECT_LE(fixture.core.count("setup"), sent) << departure;
+    EXPECT_TRUE(fixture.until([&] { return fixture.core.count("release") == sent; }))
+        << "released " << departure;
     EXPECT_EQ(fixture.edge->calls(), 0u);
   }
 }
--- a/tests/platform/program_test.cpp
+++ b/tests/platform/program_test.cpp
@@ -83,21 +83,21 @@
     loop.run();
     return done();
   }
-  // Returns whether the program passes the front's test message; reconnects until the program accepts.
+  // Returns whether the program answers a test message with success; reconnects until it accepts.
   bool passes_test() {
     bool passed = false;
     bool failed = true;
     std::shared_ptr<net::Stream> stream;
-    MessageParser cutter;
+    MessageParser parser;
     const bool done = until([&] {
       if (failed && !passed) {
         failed = false;
-        cutter = MessageParser();
+        parser = MessageParser();
         stream = net::Stream::connect(loop, address, 1 << 16);
         stream->set({[&] { stream->write(write_message(CallerMessageType::kTest, 5, {})); },
                      [&](std::string_view bytes) {
-                       cutter.feed(bytes);
-                       const auto message = cutter.next();
+                       parser.feed(bytes);
+                       const auto message = parser.next();
                        passed = passed || (message && message->type == 53 && read_cause(*message) == 1);
                      },
                      [&](const std::string&) { failed = true; }});
@@ -139,7 +139,7 @@
   EXPECT_EQ(WEXITSTATUS(status), 0);
 }
 
-// With a limit of 64 descriptors, silent connections must not keep the front's test message out.
+// With a limit of 64 descriptors, silent connections must not prevent a test message from being answered.
 TEST(Program, SilentConnectionsDoNotExhaustDescriptors) {
   Program program;
   program.start();
