--- a/src/lab/bench.cpp
+++ b/src/lab/bench.cpp
@@ -21,9 +21,9 @@
 #include "diameter/dictionary.hpp"
 #include "diameter/peer.hpp"
 #include "edge/credit_control.hpp"
-#include "lab/line.hpp"
 #include "lab/process.hpp"
 #include "lab/scenario.hpp"
+#include "lab/traced_connection.hpp"
 #include "list/pool_list.hpp"
 
 namespace mintrock::lab {
--- a/src/lab/call.cpp
+++ b/src/lab/call.cpp
@@ -11,8 +11,8 @@
 
 #include "diameter/dictionary.hpp"
 #include "edge/credit_control.hpp"
-#include "lab/line.hpp"
-#include "lab/parts.hpp"
+#include "lab/stand_ins.hpp"
+#include "lab/traced_connection.hpp"
 
 namespace mintrock::lab {
 namespace {
--- a/src/lab/core.cpp
+++ b/src/lab/core.cpp
@@ -12,9 +12,9 @@
 #include "diameter/dictionary.hpp"
 #include "diameter/peer.hpp"
 #include "edge/credit_control.hpp"
-#include "lab/line.hpp"
-#include "lab/parts.hpp"
 #include "lab/processor.hpp"
+#include "lab/stand_ins.hpp"
+#include "lab/traced_connection.hpp"
 
 namespace mintrock::lab {
 namespace {
--- a/src/lab/list.cpp
+++ b/src/lab/list.cpp
@@ -6,8 +6,8 @@
 #include <memory>
 #include <vector>
 
-#include "lab/line.hpp"
-#include "lab/parts.hpp"
+#include "lab/stand_ins.hpp"
+#include "lab/traced_connection.hpp"
 #include "list/pool_list.hpp"
 
 namespace mintrock::lab {
--- a/src/lab/main.cpp
+++ b/src/lab/main.cpp
@@ -13,10 +13,10 @@
 #include "lab/checker.hpp"
 #include "lab/import_day.hpp"
 #include "lab/mutate.hpp"
-#include "lab/parts.hpp"
 #include "lab/plot.hpp"
 #include "lab/process.hpp"
 #include "lab/soak/command.hpp"
+#include "lab/stand_ins.hpp"
 #include "lab/trace.hpp"
 
 namespace {
--- a/src/lab/live.cpp
+++ b/src/lab/progress.cpp
@@ -1,4 +1,4 @@
-#include "lab/live.hpp"
+#include "lab/progress.hpp"
 
 #include <unistd.h>
 
--- a/src/lab/live.hpp
+++ b/src/lab/progress.hpp
@@ -1,6 +1,6 @@
 // A run as it goes on: a line each second on a terminal, one every ten seconds elsewhere.
-#ifndef MINTROCK_SRC_LAB_LIVE_HPP_
-#define MINTROCK_SRC_LAB_LIVE_HPP_
+#ifndef MINTROCK_SRC_LAB_PROGRESS_HPP_
+#define MINTROCK_SRC_LAB_PROGRESS_HPP_
 
 #include <deque>
 #include <string>
@@ -37,4 +37,4 @@
 
 }  // namespace mintrock::lab
 
-#endif  // MINTROCK_SRC_LAB_LIVE_HPP_
+#endif  // MINTROCK_SRC_LAB_PROGRESS_HPP_
--- a/src/lab/run.cpp
+++ b/src/lab/run.cpp
@@ -17,12 +17,12 @@
 
 #include "config/yaml.hpp"
 #include "lab/checker.hpp"
-#include "lab/line.hpp"
-#include "lab/live.hpp"
-#include "lab/parts.hpp"
 #include "lab/plot.hpp"
 #include "lab/process.hpp"
+#include "lab/progress.hpp"
+#include "lab/stand_ins.hpp"
 #include "lab/trace.hpp"
+#include "lab/traced_connection.hpp"
 
 namespace mintrock::lab {
 namespace {
--- a/src/lab/parts.hpp
+++ b/src/lab/stand_ins.hpp
@@ -1,7 +1,7 @@
 // The stand-ins of a run, each started as a process of its own: core servers, pool list, callers. They share
 // nothing but the scenario, the ports and the moment at which it all begins.
-#ifndef MINTROCK_SRC_LAB_PARTS_HPP_
-#define MINTROCK_SRC_LAB_PARTS_HPP_
+#ifndef MINTROCK_SRC_LAB_STAND_INS_HPP_
+#define MINTROCK_SRC_LAB_STAND_INS_HPP_
 
 #include <cstdint>
 #include <string>
@@ -45,4 +45,4 @@
 
 }  // namespace mintrock::lab
 
-#endif  // MINTROCK_SRC_LAB_PARTS_HPP_
+#endif  // MINTROCK_SRC_LAB_STAND_INS_HPP_
--- a/src/lab/line.cpp
+++ b/src/lab/traced_connection.cpp
@@ -1,4 +1,4 @@
-#include "lab/line.hpp"
+#include "lab/traced_connection.hpp"
 
 #include <utility>
 
--- a/src/lab/line.hpp
+++ b/src/lab/traced_connection.hpp
@@ -1,7 +1,7 @@
 // One Diameter connection of a stand-in: frames in and out, each written to its trace. It knows no states and
 // keeps no rules: what a stand-in sends, right or wrong, is the scenario's matter.
-#ifndef MINTROCK_SRC_LAB_LINE_HPP_
-#define MINTROCK_SRC_LAB_LINE_HPP_
+#ifndef MINTROCK_SRC_LAB_TRACED_CONNECTION_HPP_
+#define MINTROCK_SRC_LAB_TRACED_CONNECTION_HPP_
 
 #include <cstdint>
 #include <functional>
@@ -69,4 +69,4 @@
 
 }  // namespace mintrock::lab
 
-#endif  // MINTROCK_SRC_LAB_LINE_HPP_
+#endif  // MINTROCK_SRC_LAB_TRACED_CONNECTION_HPP_
--- a/tests/edge/edge_test.cpp
+++ b/tests/edge/edge_test.cpp
@@ -18,7 +18,7 @@
 
 #include "diameter/dictionary.hpp"
 #include "edge/logging.hpp"
-#include "lab/line.hpp"
+#include "lab/traced_connection.hpp"
 
 namespace mintrock::edge {
 namespace {
--- a/tests/lab/live_test.cpp
+++ b/tests/lab/progress_test.cpp
@@ -1,5 +1,5 @@
 // What is shown of a run: the line while it goes on, and its course as figures and pictures.
-#include "lab/live.hpp"
+#include "lab/progress.hpp"
 
 #include <gtest/gtest.h>
 #include <unistd.h>
