--- a/src/lab/bench.cpp
+++ b/src/lab/bench.cpp
@@ -55,15 +55,16 @@
   };
 
   Generator(net::Loop& loop, std::uint16_t port, std::string name) : loop_(loop), name_(std::move(name)) {
-    Line::Handlers handlers;
+    TracedConnection::Handlers handlers;
     handlers.on_open = [this] { line_->send(make_cer(name_, 1, 1)); };
     handlers.on_message = [this](const MessageView& view) { message(view); };
     handlers.on_closed = [this](const std::string& why) {
       std::fprintf(stderr, "mintrock-lab: connection of the measurement closed: %s\n", why.c_str());
       loop_.stop();
     };
-    line_ = std::make_unique<Line>(loop_, net::Stream::connect(loop_, {0x7F000001, port}, 64 << 20), trace_,
-                                   name_, 1, std::move(handlers));
+    line_ =
+        std::make_unique<TracedConnection>(loop_, net::Stream::connect(loop_, {0x7F000001, port}, 64 << 20),
+                                           trace_, name_, 1, std::move(handlers));
     loop_.run();
     if (!ready_) throw std::runtime_error("the measured part takes no connection");
   }
@@ -176,7 +177,7 @@
     }
     if (view.header.request()) {
       if (view.header.command == diameter::kDeviceWatchdog) {
-        line_->send(answer_base(view, name_, 1));
+        line_->send(make_base_answer(view, name_, 1));
       }
       return;
     }
@@ -200,7 +201,7 @@
   net::Loop& loop_;
   TraceWriter trace_{""};
   std::string name_;
-  std::unique_ptr<Line> line_;
+  std::unique_ptr<TracedConnection> line_;
   bool ready_ = false;
   bool closed_ = false;
   double counted_ = 0;  // from here on
@@ -241,22 +242,22 @@
 int run_bench_core(std::uint16_t port) {
   net::Loop loop;
   TraceWriter trace("");
-  std::map<std::uint64_t, std::unique_ptr<Line>> lines;
+  std::map<std::uint64_t, std::unique_ptr<TracedConnection>> lines;
   std::uint64_t last = 0;
   diameter::LocalNode local;
   local.host = kCore;
   local.realm = kRealm;
   net::Listener listener(loop, {0x7F000001, port}, [&](int fd, net::Address from) {
     const std::uint64_t id = ++last;
-    Line::Handlers handlers;
+    TracedConnection::Handlers handlers;
     handlers.on_message = [&, id](const MessageView& view) {
       if (!view.header.request()) return;
       const bool cer = view.header.command == diameter::kCapabilitiesExchange;
-      lines.at(id)->send(cer ? answer_base(view, kCore, 1) : edge::write_success(view, local));
+      lines.at(id)->send(cer ? make_base_answer(view, kCore, 1) : edge::write_success(view, local));
     };
     handlers.on_closed = [&, id](const std::string&) { loop.defer([&, id] { lines.erase(id); }); };
-    lines[id] = std::make_unique<Line>(loop, net::Stream::adopt(loop, fd, from, 64 << 20), trace, kCore, id,
-                                       std::move(handlers));
+    lines[id] = std::make_unique<TracedConnection>(loop, net::Stream::adopt(loop, fd, from, 64 << 20), trace,
+                                                   kCore, id, std::move(handlers));
   });
   loop.on_signal(SIGTERM, [&] { loop.stop(); });
   loop.run();
@@ -273,15 +274,15 @@
     std::uint32_t hop_by_hop;
     std::string session;
   };
-  std::map<std::uint64_t, std::unique_ptr<Line>> callers;
+  std::map<std::uint64_t, std::unique_ptr<TracedConnection>> callers;
   std::unordered_map<std::uint32_t, Way> ways;
   std::uint64_t last = 0;
   std::uint32_t hop = 0;
   const auto frame_of = [](const MessageView& view) {
     return std::string(view.avps.front().whole.data() - diameter::kHeaderSize, view.header.length);
   };
-  std::unique_ptr<Line> core;
-  Line::Handlers from_core;
+  std::unique_ptr<TracedConnection> core;
+  TracedConnection::Handlers from_core;
   from_core.on_open = [&] { core->send(make_cer("relay.lab.test", 1, 1)); };
   from_core.on_message = [&](const MessageView& view) {
     const auto way = ways.find(view.header.hop_by_hop);
@@ -295,15 +296,15 @@
     ways.erase(way);
   };
   from_core.on_closed = [&](const std::string&) { loop.stop(); };
-  core = std::make_unique<Line>(loop, net::Stream::connect(loop, {0x7F000001, to}, 64 << 20), trace, "relay",
-                                0, std::move(from_core));
+  core = std::make_unique<TracedConnection>(loop, net::Stream::connect(loop, {0x7F000001, to}, 64 << 20),
+                                            trace, "relay", 0, std::move(from_core));
   net::Listener listener(loop, {0x7F000001, port}, [&](int fd, net::Address from) {
     const std::uint64_t id = ++last;
-    Line::Handlers handlers;
+    TracedConnection::Handlers handlers;
     handlers.on_message = [&, id](const MessageView& view) {
       if (!view.header.request()) return;
       if (view.header.command == diameter::kCapabilitiesExchange) {
-        return callers.at(id)->send(answer_base(view, "relay.lab.test", 1));
+        return callers.at(id)->send(make_base_answer(view, "relay.lab.test", 1));
       }
       std::string frame = frame_of(view);
       put_u32(frame, 12, ++hop);
@@ -311,8 +312,8 @@
       core->send(frame);
     };
     handlers.on_closed = [&, id](const std::string&) { loop.defer([&, id] { callers.erase(id); }); };
-    callers[id] = std::make_unique<Line>(loop, net::Stream::adopt(loop, fd, from, 64 << 20), trace, "relay",
-                                         id, std::move(handlers));
+    callers[id] = std::make_unique<TracedConnection>(loop, net::Stream::adopt(loop, fd, from, 64 << 20),
+                                                     trace, "relay", id, std::move(handlers));
   });
   loop.on_signal(SIGTERM, [&] { loop.stop(); });
   loop.run();
@@ -326,7 +327,7 @@
   mintrock::list::News news;
   news.entries = {{kCore, "127.0.0.1:" + std::to_string(core)}};
   std::ofstream(dir + "/list.json") << mintrock::list::print_news(news);
-  Children children;
+  ChildProcesses children;
   children.spawn({"/proc/self/exe", "bench-core", "--port", std::to_string(core)});
   wait_for_port(core);
   std::printf("a proxy just started, an idle core server; the first %.0f s\n", options.seconds);
@@ -336,7 +337,7 @@
       std::uint64_t tries = 0, refused = 0;
       double longest = 0;
       for (std::uint32_t round = 0; round < options.rounds; ++round) {
-        Children proxy;
+        ChildProcesses proxy;
         const std::uint16_t port = ports.next(), admin = ports.next();
         std::ofstream(dir + "/edge.yaml") << edge_config(port, admin, nobody, dir);
         proxy.spawn({options.edge_program, "--config", dir + "/edge.yaml"});
@@ -368,7 +369,7 @@
   news.entries = {{kCore, "127.0.0.1:" + std::to_string(core)}};
   std::ofstream(dir + "/list.json") << mintrock::list::print_news(news);
   std::ofstream(dir + "/edge.yaml") << edge_config(edge, admin, nobody, dir);
-  Children children;
+  ChildProcesses children;
   children.spawn({"/proc/self/exe", "bench-core", "--port", std::to_string(core)});
   wait_for_port(core);
   children.spawn(
--- a/src/lab/call.cpp
+++ b/src/lab/call.cpp
@@ -132,15 +132,15 @@
 
   void connect() {
     if (leaving_) return;
-    const std::size_t proxy = (number_ + moved_) % crowd_.run.proxies.size();
-    auto stream = net::Stream::connect(crowd_.loop, {0x7F000001, crowd_.run.proxies[proxy]}, 64 << 20);
-    Line::Handlers handlers;
+    const std::size_t proxy = (number_ + moved_) % crowd_.run.proxy_ports.size();
+    auto stream = net::Stream::connect(crowd_.loop, {0x7F000001, crowd_.run.proxy_ports[proxy]}, 64 << 20);
+    TracedConnection::Handlers handlers;
     handlers.on_open = [this] { line_->send(make_cer(name_, ++hop_, 1)); };
     handlers.on_message = [this](const MessageView& view) { message(view); };
     handlers.on_closed = [this](const std::string&) { lost(); };
-    line_ = std::make_unique<Line>(crowd_.loop, std::move(stream), crowd_.trace, name_,
-                                   std::uint64_t{number_} << 32 | ++lines_, std::move(handlers));
-    line_->with = proxy_name(static_cast<std::uint32_t>(proxy));
+    line_ = std::make_unique<TracedConnection>(crowd_.loop, std::move(stream), crowd_.trace, name_,
+                                               std::uint64_t{number_} << 32 | ++lines_, std::move(handlers));
+    line_->peer = proxy_name(static_cast<std::uint32_t>(proxy));
   }
 
   void lost() {
@@ -196,7 +196,7 @@
         if (silent_) return;
         [[fallthrough]];
       case diameter::kDisconnectPeer: {
-        line_->send(answer_base(view, name_, 1));
+        line_->send(make_base_answer(view, name_, 1));
         if (view.header.command == diameter::kDisconnectPeer) ready_ = false;
         return;
       }
@@ -290,7 +290,7 @@
   Crowd& crowd_;
   std::uint32_t number_;
   std::string name_;
-  std::unique_ptr<Line> line_;
+  std::unique_ptr<TracedConnection> line_;
   std::uint64_t lines_ = 0;
   std::size_t moved_ = 0;
   bool ready_ = false;
@@ -307,7 +307,7 @@
 double load_factor(const Scenario& scenario, double at) {
   double factor = 1;
   for (const Event& event : scenario.events) {
-    if (event.kind == Event::Kind::kSurge && at >= event.at_s && at < event.at_s + event.for_s)
+    if (event.kind == Event::Kind::kSurge && at >= event.at_s && at < event.at_s + event.duration_s)
       factor *= event.factor;
   }
   return factor;
@@ -316,7 +316,7 @@
 // The share of calls that goes to the one crowded number.
 double hot_share(const Scenario& scenario, double at) {
   for (const Event& event : scenario.events) {
-    if (event.kind == Event::Kind::kHotNumber && at >= event.at_s && at < event.at_s + event.for_s)
+    if (event.kind == Event::Kind::kHotNumber && at >= event.at_s && at < event.at_s + event.duration_s)
       return event.share;
   }
   return 0;
@@ -338,7 +338,7 @@
     wish.called = "234" + std::to_string(crowd.random() % 1000000);
     if (const double hot = hot_share(crowd.scenario, at);
         hot > 0 && std::bernoulli_distribution(hot)(crowd.random)) {
-      wish.called = kHotNumber;
+      wish.called = kHotCalledNumber;
     }
     wish.first_choice = static_cast<std::uint32_t>(crowd.random() % crowd.scenario.cores);
     ready[crowd.random() % ready.size()]->dial(std::move(wish));
@@ -365,7 +365,7 @@
     loop.timers().at(run.epoch + event.at_s, [&loop, &event, caller] {
       if (event.kind == Event::Kind::kCallerLost) return caller->lose_connection();
       caller->set_silent(true);
-      loop.after(event.for_s, [caller] { caller->set_silent(false); });
+      loop.after(event.duration_s, [caller] { caller->set_silent(false); });
     });
   }
   loop.timers().at(run.epoch, [&] { arrive(crowd); });
--- a/src/lab/checker.cpp
+++ b/src/lab/checker.cpp
@@ -263,7 +263,7 @@
       }
     }
     if (event == "start" && text.value("cold", false)) {
-      const Warmth warmth{scenario_.rules.start_capacity, scenario_.rules.warm_up_s, record.time()};
+      const WarmUp warmth{scenario_.rules.start_capacity, scenario_.rules.warm_up_s, record.time()};
       cold_.insert_or_assign(record.who(),
                              ColdBudget(warmth, text.value("capacity", 1.0), scenario_.rules.overload_factor,
                                         scenario_.rules.fall_s));
@@ -294,7 +294,7 @@
   void judge_cold(const Attempt& attempt) {
     const auto found = cold_.find(attempt.core);
     if (found == cold_.end()) return;
-    const double load = found->second.arrived(attempt.arrived);
+    const double load = found->second.record_arrival(attempt.arrived);
     if (load == 0) return;  // warm
     char text[80];
     std::snprintf(text, sizeof text, "%s at %.0f%% of its budget", attempt.core.c_str(), load * 100);
@@ -379,7 +379,8 @@
         counts.stood += 1;
         counts.cut += each.cut < kNever;
         delays.push_back(each.answered - each.sent);
-        if (each.cut == kNever && each.answered - wish.first <= known->second->told.aim_s) wish.served = true;
+        if (each.cut == kNever && each.answered - wish.first <= known->second->settings.aim_s)
+          wish.served = true;
       } else if (each.result == diameter::kTooBusy) {
         counts.refused += 1;
       } else {
@@ -390,7 +391,7 @@
     for (const auto& [name, wish] : wishes) {
       const auto known = classes.find(wish.service);
       if (known == classes.end()) continue;
-      const double value = known->second->told.value;
+      const double value = known->second->settings.value;
       const auto window = static_cast<std::size_t>((wish.first - begin) / kWindow);
       if (worth.size() <= window) {
         worth.resize(window + 1);
@@ -473,7 +474,7 @@
         const auto known = classes.find(each.service);
         auto& [first, served] = wishes.at(wish_of(session));
         served |= known != classes.end() && each.cut == kNever &&
-                  each.answered - first <= known->second->told.aim_s;
+                  each.answered - first <= known->second->settings.aim_s;
       } else {
         (each.result == diameter::kTooBusy ? s.refused : s.failed) += 1;
       }
--- a/src/lab/core.cpp
+++ b/src/lab/core.cpp
@@ -43,17 +43,17 @@
   }
 
   void fault(const Event& event) {
-    note({{"event", "fault"}, {"kind", name(event.kind)}, {"for", event.for_s}});
-    const auto later = [&](std::function<void()> undo) { loop_.after(event.for_s, std::move(undo)); };
+    note({{"event", "fault"}, {"kind", name(event.kind)}, {"for", event.duration_s}});
+    const auto later = [&](std::function<void()> undo) { loop_.after(event.duration_s, std::move(undo)); };
     switch (event.kind) {
       case Event::Kind::kSwallow:
         swallow_ = true;
         return later([this] { swallow_ = false; });
       case Event::Kind::kSlow:
-        processor_->set_slowness(event.factor);
-        return later([this] { processor_->set_slowness(1); });
+        processor_->set_slowdown(event.factor);
+        return later([this] { processor_->set_slowdown(1); });
       case Event::Kind::kPause:
-        processor_->pause(loop_.now(), event.for_s);
+        processor_->pause(loop_.now(), event.duration_s);
         return watch();
       case Event::Kind::kCrash:
         die();
@@ -68,7 +68,7 @@
         lose_ = event.share;
         return later([this] { lose_ = 0; });
       case Event::Kind::kLateAnswers:
-        late_ = event.by_s;
+        late_ = event.delay_s;
         return later([this] { late_ = 0; });
       case Event::Kind::kDoubleAnswers:
         double_ = true;
@@ -120,7 +120,7 @@
     if (fallen_) return;
     up_ = true;
     origin_state_ += 1;
-    Warmth warmth;
+    WarmUp warmth;
     if (cold) {
       warmth = {scenario_.rules.start_capacity, scenario_.rules.warm_up_s, loop_.now()};
     }
@@ -154,7 +154,7 @@
     // Set-ups that wait are lost with their connection; calls that stand wait for their proxy to come back.
     for (auto at = sessions_.begin(); at != sessions_.end();) {
       if (!at->second.stands && at->second.job != 0) {
-        processor_->drop(at->second.job);
+        processor_->cancel(at->second.job);
         jobs_.erase(at->second.job);
       }
       at = at->second.stands ? std::next(at) : sessions_.erase(at);
@@ -181,25 +181,26 @@
   void accepted(int fd, net::Address from) {
     const std::uint64_t id = ++last_line_;
     auto stream = net::Stream::adopt(loop_, fd, from, 64 << 20);
-    Line::Handlers handlers;
+    TracedConnection::Handlers handlers;
     handlers.on_message = [this, id](const MessageView& view) { message(id, view); };
     handlers.on_closed = [this, id](const std::string&) { loop_.defer([this, id] { lines_.erase(id); }); };
-    lines_[id] = std::make_unique<Line>(loop_, std::move(stream), trace_, name_, id, std::move(handlers));
+    lines_[id] =
+        std::make_unique<TracedConnection>(loop_, std::move(stream), trace_, name_, id, std::move(handlers));
   }
 
   void message(std::uint64_t id, const MessageView& view) {
-    Line& line = *lines_.at(id);
+    TracedConnection& line = *lines_.at(id);
     if (!view.header.request()) return;
     switch (view.header.command) {
       case diameter::kCapabilitiesExchange: {
         const auto* host = view.find(avp::kOriginHost.code);
-        line.with = host != nullptr ? std::string(host->data) : "";
-        return line.send(answer_base(view, name_, origin_state_));
+        line.peer = host != nullptr ? std::string(host->data) : "";
+        return line.send(make_base_answer(view, name_, origin_state_));
       }
       case diameter::kDeviceWatchdog:
       case diameter::kDisconnectPeer: {
         if (silent_ && view.header.command == diameter::kDeviceWatchdog) return;
-        line.send(answer_base(view, name_, origin_state_));
+        line.send(make_base_answer(view, name_, origin_state_));
         return;
       }
       case diameter::kCreditControl:
@@ -211,7 +212,7 @@
 
   void setup(std::uint64_t id, const MessageView& view) {
     const double now = loop_.now();
-    if (budget_->arrived(now) > 1) {
+    if (budget_->record_arrival(now) > 1) {
       note({{"event", "fell_over"}});
       fallen_ = true;
       loop_.defer([this] { die(); });
@@ -225,14 +226,14 @@
       sessions_.erase(record->session_id);
       return answer(id, *record, reject_, 0);
     }
-    if (record->called == kHotNumber && hot_standing() >= hot_lines_) {
+    if (record->called == kHotCalledNumber && hot_standing() >= hot_lines_) {
       // The number's lines are all taken: found out by the processor, as a set-up is.
       processor_->push(now, 0, scenario_.setup_work_s / 2, false);
       watch();
       sessions_.erase(record->session_id);
       return answer(id, *record, diameter::kEndUserServiceDenied, 0);
     }
-    const double wait = processor_->wait(now);
+    const double wait = processor_->estimated_wait(now);
     if (wait > scenario_.full_after_s) {
       processor_->push(now, 0, scenario_.release_work_s / 2, true);
       watch();
@@ -248,13 +249,13 @@
 
   std::size_t hot_standing() const {
     return static_cast<std::size_t>(std::count_if(sessions_.begin(), sessions_.end(), [](const auto& each) {
-      return each.second.stands && each.second.record->called == kHotNumber;
+      return each.second.stands && each.second.record->called == kHotCalledNumber;
     }));
   }
 
   void release(std::uint64_t id, const MessageView& view) {
     const auto found = sessions_.find(edge::session_of(view));
-    Line& line = *lines_.at(id);
+    TracedConnection& line = *lines_.at(id);
     if (found == sessions_.end()) {
       return line.send(diameter::error_answer(local_, view, diameter::kUnknownSessionId, {}, ""));
     }
@@ -262,7 +263,7 @@
       processor_->push(loop_.now(), 0, scenario_.release_work_s, true);
       watch();
     } else if (found->second.job != 0) {
-      processor_->drop(found->second.job);  // given up: dropped, if it has not begun
+      processor_->cancel(found->second.job);  // given up: dropped, if it has not begun
       jobs_.erase(found->second.job);
     }
     sessions_.erase(found);
@@ -275,9 +276,9 @@
       return;
     }
     const double now = loop_.now();
-    if (now >= report_at_ + scenario_.reports_every_s) {
-      report_.wait_s = processor_->wait(now);
-      report_.queue = static_cast<double>(processor_->waiting());
+    if (now >= report_at_ + scenario_.report_interval_s) {
+      report_.wait_s = processor_->estimated_wait(now);
+      report_.queue = static_cast<double>(processor_->queue_length());
       report_at_ = now;
     }
     const bool busy = result >= 3000 && result < 4000;
@@ -318,10 +319,10 @@
   void watch() {
     loop_.timers().cancel(timer_);
     timer_ = 0;
-    if (!up_ || processor_->due() > 1e15) return;
-    timer_ = loop_.timers().at(processor_->due(), [this] {
+    if (!up_ || processor_->completion_time() > 1e15) return;
+    timer_ = loop_.timers().at(processor_->completion_time(), [this] {
       timer_ = 0;
-      const std::uint64_t job = processor_->finish(loop_.now());
+      const std::uint64_t job = processor_->complete(loop_.now());
       const auto found = jobs_.find(job);
       if (found != jobs_.end()) {
         const std::string session_id = found->second;
@@ -345,7 +346,7 @@
   std::mt19937_64 random_;
   diameter::LocalNode local_;
   std::unique_ptr<net::Listener> listener_;
-  std::map<std::uint64_t, std::unique_ptr<Line>> lines_;
+  std::map<std::uint64_t, std::unique_ptr<TracedConnection>> lines_;
   std::uint64_t last_line_ = 0;
   std::unordered_map<std::string, Session> sessions_;
   std::unordered_map<std::uint64_t, std::string> jobs_;
@@ -384,13 +385,13 @@
 
 }  // namespace
 
-int run_cores(const Scenario& scenario, const std::string& dir) {
+int run_core_servers(const Scenario& scenario, const std::string& dir) {
   const RunFile run = load_run_file(dir);
   net::Loop loop;
   TraceWriter trace(dir + "/core.trace");
   std::vector<std::unique_ptr<CoreServer>> servers;
   for (std::uint32_t i = 0; i < scenario.cores; ++i) {
-    servers.push_back(std::make_unique<CoreServer>(loop, scenario, i, run.cores.at(i), trace));
+    servers.push_back(std::make_unique<CoreServer>(loop, scenario, i, run.core_ports.at(i), trace));
   }
   for (const Event& event : scenario.events) {
     if (!about_core(event)) continue;
--- a/src/lab/list.cpp
+++ b/src/lab/list.cpp
@@ -16,11 +16,11 @@
 class ListServer {
  public:
   ListServer(net::Loop& loop, const Scenario& scenario, const RunFile& run, TraceWriter& trace)
-      : loop_(loop), trace_(trace), port_(run.list) {
+      : loop_(loop), trace_(trace), port_(run.list_port) {
     for (std::uint32_t i = 0; i < scenario.cores; ++i) {
       mintrock::list::Entry entry;
       entry.identity = core_name(i);
-      entry.address = net::Address{0x7F000001, run.cores[i]}.str();
+      entry.address = net::Address{0x7F000001, run.core_ports[i]}.str();
       entry.node = i;
       entries_.push_back(entry);
     }
@@ -39,8 +39,8 @@
 
   void script(const Scenario& scenario, const RunFile& run, const Event& event) {
     const double told = run.epoch + event.at_s + scenario.list_delay_s;
-    const double back = told + event.for_s;
-    const double started = run.epoch_wall + event.at_s + event.for_s;
+    const double back = told + event.duration_s;
+    const double started = run.epoch_wall + event.at_s + event.duration_s;
     const auto change = [this, target = event.target](ServerEntry::State state, double started_at) {
       mintrock::list::Entry& entry = entries_[target];
       entry.state = state;
@@ -58,7 +58,7 @@
         for (auto& [id, each] : subscribers_) each.stream->close();
         subscribers_.clear();
       });
-      loop_.timers().at(run.epoch + event.at_s + event.for_s, [this] { listen(); });
+      loop_.timers().at(run.epoch + event.at_s + event.duration_s, [this] { listen(); });
     }
   }
 
@@ -127,7 +127,7 @@
 
 }  // namespace
 
-int run_list(const Scenario& scenario, const std::string& dir) {
+int run_list_server(const Scenario& scenario, const std::string& dir) {
   const RunFile run = load_run_file(dir);
   net::Loop loop;
   TraceWriter trace(dir + "/list.trace");
--- a/src/lab/main.cpp
+++ b/src/lab/main.cpp
@@ -56,8 +56,8 @@
     sub->add_option("--dir", dir, "the run's folder, with its run.json")->required();
     sub->callback([&, run] { status = run(lab::load_scenario(scenario), dir); });
   };
-  part("core", "core servers of a run", lab::run_cores);
-  part("list", "the pool list of a run", lab::run_list);
+  part("core", "core servers of a run", lab::run_core_servers);
+  part("list", "the pool list of a run", lab::run_list_server);
   part("call", "the callers of a run", lab::run_callers);
 
   lab::RunOptions options;
@@ -66,17 +66,17 @@
   const char* const kSlack = "granted to comparisons of times taken by two processes, with its unit";
   CLI::App* run = app.add_subcommand("run", "plays a scenario through real proxies and checks the rules");
   run->add_option("scenario", options.scenario_file, "the scenario, a YAML file")->required();
-  run->add_option("--report", options.report, "write the report there, as JSON");
+  run->add_option("--report", options.report_file, "write the report there, as JSON");
   run->add_option("--trace", options.trace_dir, "keep traces and logs in this folder");
   run->add_option("--edge", options.edge_program,
                   "the mintrock-edge to run; the one beside this program if not told");
   run->add_option("--slack", slack, kSlack);
-  run->add_option("--plots", options.plots, "draw the run's course into this folder, as SVG");
+  run->add_option("--plots", options.plot_dir, "draw the run's course into this folder, as SVG");
   run->add_flag("--quiet", options.quiet, "no lines while it runs");
   run->callback([&] {
     options.slack_s = slack_s();
     if (options.edge_program.empty()) options.edge_program = beside("mintrock-edge");
-    status = lab::run_all(options);
+    status = lab::run_scenario(options);
   });
 
   std::string pcap, report;
--- a/src/lab/process.cpp
+++ b/src/lab/process.cpp
@@ -27,7 +27,7 @@
 
 }  // namespace
 
-std::uint32_t loopback_of_process(pid_t process) {
+std::uint32_t loopback_for_process(pid_t process) {
   constexpr std::uint32_t kUpperHalf = 0x7F800000;  // of 127.0.0.0/8; process ids have 22 bits at most
   return kUpperHalf | (static_cast<std::uint32_t>(process) & 0x003FFFFF);
 }
@@ -82,17 +82,17 @@
   throw std::runtime_error("nobody listens on port " + std::to_string(port));
 }
 
-Children::~Children() {
+ChildProcesses::~ChildProcesses() {
   for (const pid_t pid : pids_) kill(pid, SIGKILL);
   for (const pid_t pid : pids_) waitpid(pid, nullptr, 0);
 }
 
-pid_t Children::spawn(const std::vector<std::string>& words) {
+pid_t ChildProcesses::spawn(const std::vector<std::string>& words) {
   pids_.push_back(lab::spawn(words));
   return pids_.back();
 }
 
-void Children::stop() {
+void ChildProcesses::stop() {
   for (const pid_t pid : pids_) kill(pid, SIGTERM);
   for (int i = 0; i < 1500 && !pids_.empty(); ++i) {
     for (std::size_t k = pids_.size(); k-- > 0;) {
--- a/src/lab/process.hpp
+++ b/src/lab/process.hpp
@@ -20,7 +20,7 @@
 
 // A loopback address that no other process gets, in host order: trials side by side never meet on a port,
 // though their listeners come and go.
-std::uint32_t loopback_of_process(pid_t process);
+std::uint32_t loopback_for_process(pid_t process);
 
 // Ports of a loopback address that nobody listens on, below those that the system gives to outgoing
 // connections. None is handed out twice.
@@ -42,9 +42,9 @@
 void wait_for_port(std::uint16_t port);
 
 // Processes that end with their owner, at the latest.
-class Children {
+class ChildProcesses {
  public:
-  ~Children();
+  ~ChildProcesses();
   pid_t spawn(const std::vector<std::string>& words);
   void stop();  // SIGTERM, then SIGKILL after 15 s
 
--- a/src/lab/progress.cpp
+++ b/src/lab/progress.cpp
@@ -25,8 +25,8 @@
 
 }  // namespace
 
-std::string progress_line(const Scenario& scenario, double at, const Checker::Progress& before,
-                          const Checker::Progress& now) {
+std::string format_progress_line(const Scenario& scenario, double at, const Checker::Progress& before,
+                                 const Checker::Progress& now) {
   char text[160];
   const std::uint64_t stood = now.stood - before.stood;
   const std::uint64_t answered = stood + now.other - before.other;
@@ -41,7 +41,7 @@
   }
   std::string faults;
   for (const Event& event : scenario.events) {
-    if (at < event.at_s || at >= event.at_s + std::max(event.for_s, 1.0)) continue;
+    if (at < event.at_s || at >= event.at_s + std::max(event.duration_s, 1.0)) continue;
     faults += faults.empty() ? "| " : ", ";
     faults += name(event.kind);
     if (event.kind == Event::Kind::kSurge) {
@@ -54,14 +54,15 @@
   return out + faults;
 }
 
-Live::Live(const Scenario& scenario, const std::string& dir, double epoch, double slack_s)
+ProgressDisplay::ProgressDisplay(const Scenario& scenario, const std::string& dir, double epoch,
+                                 double slack_s)
     : scenario_(scenario), epoch_(epoch), terminal_(isatty(STDOUT_FILENO) == 1), checker_(scenario, slack_s) {
   for (const char* each : {"core", "list", "call", "run"}) tails_.emplace_back(dir + "/" + each + ".trace");
   before_ = checker_.progress();
   next_ = epoch_ + (terminal_ ? kOnTerminal : kElsewhere);
 }
 
-void Live::look(double now) {
+void ProgressDisplay::update(double now) {
   if (now < next_) return;
   next_ += terminal_ ? kOnTerminal : kElsewhere;
   try {
@@ -80,13 +81,13 @@
   for (; at != waiting_.end() && at->time() < now - kBehind; ++at) checker_.take(*at);
   waiting_.erase(waiting_.begin(), at);
   const Checker::Progress progress = checker_.progress();
-  const std::string line = progress_line(scenario_, now - epoch_, before_, progress);
+  const std::string line = format_progress_line(scenario_, now - epoch_, before_, progress);
   before_ = progress;
   std::printf(terminal_ ? "\r\x1b[K%s" : "%s\n", line.c_str());
   std::fflush(stdout);
 }
 
-void Live::end() {
+void ProgressDisplay::finish() {
   if (terminal_) std::printf("\n");
   next_ = 1e18;
 }
--- a/src/lab/progress.hpp
+++ b/src/lab/progress.hpp
@@ -13,16 +13,16 @@
 namespace mintrock::lab {
 
 // The line itself. Pure: `at` in s since the script's beginning.
-std::string progress_line(const Scenario& scenario, double at, const Checker::Progress& before,
-                          const Checker::Progress& now);
+std::string format_progress_line(const Scenario& scenario, double at, const Checker::Progress& before,
+                                 const Checker::Progress& now);
 
-class Live {
+class ProgressDisplay {
  public:
   // Reads along what the parts write into `dir`; `epoch` is the script's beginning on the monotonic clock.
-  Live(const Scenario& scenario, const std::string& dir, double epoch, double slack_s);
+  ProgressDisplay(const Scenario& scenario, const std::string& dir, double epoch, double slack_s);
   // To be called now and then; prints when a line is due.
-  void look(double now);
-  void end();
+  void update(double now);
+  void finish();
 
  private:
   const Scenario& scenario_;
--- a/src/lab/run.cpp
+++ b/src/lab/run.cpp
@@ -39,26 +39,27 @@
                          const std::string& dir) {
   const auto at = [](std::uint16_t port) { return "\"" + net::Address{0x7F000001, port}.str() + "\""; };
   std::string out = "node: {identity: " + proxy_name(number) + ", realm: " + kRealm +
-                    ", listen: " + at(run.proxies[number]) + ", admin: " + at(run.admins[number]) + "}\n";
+                    ", listen: " + at(run.proxy_ports[number]) + ", admin: " + at(run.admin_ports[number]) +
+                    "}\n";
   out += std::string("core: {watchdog: ") + (s.core_watchdog ? "true" : "false") +
-         ", watchdog_interval: " + yaml_time(s.watchdog_s) + ", reconnect: 300ms}\n";
-  out += "callers: {watchdog_interval: " + yaml_time(s.watchdog_s) + "}\n";
-  out += "list: {server: " + at(run.list) + ", path: \"/list?proxy=" + proxy_name(number) +
+         ", watchdog_interval: " + yaml_time(s.watchdog_interval_s) + ", reconnect: 300ms}\n";
+  out += "callers: {watchdog_interval: " + yaml_time(s.watchdog_interval_s) + "}\n";
+  out += "list: {server: " + at(run.list_port) + ", path: \"/list?proxy=" + proxy_name(number) +
          "\", cache_file: \"" + dir + "/list-" + std::to_string(number) +
          ".json\", reconnect: 500ms, idle: 10s}\n";
   out += "fleet: {size: " + std::to_string(s.proxies) + ", own_number: " + std::to_string(number);
   if (s.proxies > 1) {
-    out += ", listen: " + at(run.fleet[number]) + ", peers: [";
-    for (std::uint32_t i = 0; i < s.proxies; ++i) out += (i > 0 ? ", " : "") + at(run.fleet[i]);
+    out += ", listen: " + at(run.fleet_ports[number]) + ", peers: [";
+    for (std::uint32_t i = 0; i < s.proxies; ++i) out += (i > 0 ? ", " : "") + at(run.fleet_ports[i]);
     out += "]";
   }
   out += "}\nclasses:\n";
   static const char* const kEffects[] = {"repeatable", "by_key", "once"};
   for (const auto& each : s.classes) {
     out += "  - {name: " + each.name + ", service_identifier: " + std::to_string(each.service_identifier) +
-           ", aim: " + yaml_time(each.told.aim_s) + ", deadline: " + yaml_time(each.told.deadline_s) +
-           ", value: " + std::to_string(each.told.value) +
-           ", effect: " + kEffects[static_cast<int>(each.told.effect)] + "}\n";
+           ", aim: " + yaml_time(each.settings.aim_s) + ", deadline: " + yaml_time(each.settings.deadline_s) +
+           ", value: " + std::to_string(each.settings.value) +
+           ", effect: " + kEffects[static_cast<int>(each.settings.effect)] + "}\n";
   }
   const Settings& r = s.rules;
   out += "rules: {release_wait: " + yaml_time(r.release_wait_s) +
@@ -90,17 +91,18 @@
     fs::copy_file(options_.scenario_file, dir_ + "/scenario.yaml", fs::copy_options::overwrite_existing,
                   ignored);
     PortFinder ports;
-    run_.list = ports.next();
-    for (std::uint32_t i = 0; i < scenario_.cores; ++i) run_.cores.push_back(ports.next());
+    run_.list_port = ports.next();
+    for (std::uint32_t i = 0; i < scenario_.cores; ++i) run_.core_ports.push_back(ports.next());
     for (std::uint32_t i = 0; i < scenario_.proxies; ++i) {
-      run_.proxies.push_back(ports.next());
-      run_.admins.push_back(ports.next());
-      run_.fleet.push_back(ports.next());
+      run_.proxy_ports.push_back(ports.next());
+      run_.admin_ports.push_back(ports.next());
+      run_.fleet_ports.push_back(ports.next());
     }
     run_.epoch = net::monotonic_now() + kStartUp;
     run_.epoch_wall = net::wall_now() + kStartUp;
     save_run_file(run_, dir_);
-    if (!options_.quiet) live_ = std::make_unique<Live>(scenario_, dir_, run_.epoch, options_.slack_s);
+    if (!options_.quiet)
+      live_ = std::make_unique<ProgressDisplay>(scenario_, dir_, run_.epoch, options_.slack_s);
     const pid_t list = part("list");
     const pid_t core = part("core");
     proxies_.resize(scenario_.proxies);
@@ -119,9 +121,9 @@
       const bool killed = event.kind == Event::Kind::kKillProxy;
       if (!killed && event.kind != Event::Kind::kTermProxy) continue;
       steps.push_back({event.at_s, [this, &event, killed] {
-                         stop_proxy(event.target, killed ? SIGKILL : SIGTERM, event.for_s);
+                         stop_proxy(event.target, killed ? SIGKILL : SIGTERM, event.duration_s);
                        }});
-      steps.push_back({event.at_s + event.for_s, [this, &event] {
+      steps.push_back({event.at_s + event.duration_s, [this, &event] {
                          wait_for(proxies_[event.target]);
                          start_proxy(event.target);
                        }});
@@ -132,7 +134,7 @@
       step.act();
     }
     bool good = wait_for(call);
-    if (live_) live_->end();
+    if (live_) live_->finish();
     for (std::uint32_t i = 0; i < scenario_.proxies; ++i) {
       if (alive_.count(proxies_[i]) != 0) kill(proxies_[i], SIGTERM);
     }
@@ -216,7 +218,7 @@
   void look() {
     if (!live_) return;
     trace_.flush();
-    live_->look(net::monotonic_now());
+    live_->update(net::monotonic_now());
   }
 
   const RunOptions& options_;
@@ -224,7 +226,7 @@
   Scenario scenario_;
   RunFile run_;
   TraceWriter trace_;
-  std::unique_ptr<Live> live_;
+  std::unique_ptr<ProgressDisplay> live_;
   std::map<pid_t, std::string> alive_;
   std::set<pid_t> expected_;
   std::vector<pid_t> proxies_;
@@ -233,11 +235,10 @@
 }  // namespace
 
 void save_run_file(const RunFile& run, const std::string& dir) {
-  std::ofstream(dir + "/run.json") << json{{"epoch", run.epoch},     {"epoch_wall", run.epoch_wall},
-                                           {"list", run.list},       {"cores", run.cores},
-                                           {"proxies", run.proxies}, {"admins", run.admins},
-                                           {"fleet", run.fleet}}
-                                          .dump();
+  std::ofstream(dir + "/run.json") << json{
+      {"epoch", run.epoch},      {"epoch_wall", run.epoch_wall}, {"list", run.list_port},
+      {"cores", run.core_ports}, {"proxies", run.proxy_ports},   {"admins", run.admin_ports},
+      {"fleet", run.fleet_ports}}.dump();
 }
 
 RunFile load_run_file(const std::string& dir) {
@@ -247,15 +248,15 @@
   RunFile run;
   from.at("epoch").get_to(run.epoch);
   from.at("epoch_wall").get_to(run.epoch_wall);
-  from.at("list").get_to(run.list);
-  from.at("cores").get_to(run.cores);
-  from.at("proxies").get_to(run.proxies);
-  from.at("admins").get_to(run.admins);
-  from.at("fleet").get_to(run.fleet);
+  from.at("list").get_to(run.list_port);
+  from.at("cores").get_to(run.core_ports);
+  from.at("proxies").get_to(run.proxy_ports);
+  from.at("admins").get_to(run.admin_ports);
+  from.at("fleet").get_to(run.fleet_ports);
   return run;
 }
 
-int run_all(const RunOptions& options) {
+int run_scenario(const RunOptions& options) {
   std::string dir = options.trace_dir;
   const bool own = dir.empty();
   if (own) {
@@ -271,11 +272,12 @@
     report = runner.check();
   }
   std::fputs(report.table().c_str(), stdout);
-  if (!options.report.empty()) {
-    if (const fs::path in = fs::path(options.report).parent_path(); !in.empty()) fs::create_directories(in);
-    std::ofstream(options.report) << report.json() << "\n";
+  if (!options.report_file.empty()) {
+    if (const fs::path in = fs::path(options.report_file).parent_path(); !in.empty())
+      fs::create_directories(in);
+    std::ofstream(options.report_file) << report.json() << "\n";
   }
-  if (!options.plots.empty()) write_plots(report, options.plots);
+  if (!options.plot_dir.empty()) write_plots(report, options.plot_dir);
   const bool good = ended_well && report.good();
   if (own && good) {
     fs::remove_all(dir);
--- a/src/lab/scenario.cpp
+++ b/src/lab/scenario.cpp
@@ -49,10 +49,10 @@
   event.kind = kKinds[kind].kind;
   from.require("at");
   from.read_time("at", event.at_s, 0, kDay);
-  from.read_time("for", event.for_s, 0, kDay);
+  from.read_time("for", event.duration_s, 0, kDay);
   from.read("factor", event.factor, 0.01, 1000);
   from.read("share", event.share, 0, 1);
-  from.read_time("by", event.by_s, 0, kDay);
+  from.read_time("by", event.delay_s, 0, kDay);
   from.read("result", event.result, 3000, 5999);
   from.read("lines", event.lines, 0, 1000000);
   const char target = kKinds[kind].target;
@@ -80,13 +80,13 @@
   from.read("share", each.share, 0, 1e6);
   from.read_time("hold", each.hold_s, 0.001, kDay);
   from.require("aim");
-  from.read_time("aim", each.told.aim_s, 0.001, kDay);
+  from.read_time("aim", each.settings.aim_s, 0.001, kDay);
   from.require("deadline");
-  from.read_time("deadline", each.told.deadline_s, 0.001, kDay);
-  from.read("value", each.told.value, 0, 1e9);
+  from.read_time("deadline", each.settings.deadline_s, 0.001, kDay);
+  from.read("value", each.settings.value, 0, 1e9);
   std::size_t effect = 0;
   from.read_choice("effect", {"repeatable", "by_key", "once"}, effect);
-  each.told.effect = static_cast<Effect>(effect);
+  each.settings.effect = static_cast<Effect>(effect);
   out.classes.push_back(each);
 }
 
@@ -95,8 +95,8 @@
 void draw_kills(Scenario& out) {
   std::mt19937_64 random(out.seed + 77);
   std::vector<double> back(out.proxies, 0);
-  std::exponential_distribution<double> gap(1 / out.kill_every_s);
-  std::uniform_real_distribution<double> down(out.kill_down_least_s, out.kill_down_most_s);
+  std::exponential_distribution<double> gap(1 / out.mean_kill_interval_s);
+  std::uniform_real_distribution<double> down(out.min_kill_downtime_s, out.max_kill_downtime_s);
   constexpr double kSettle = 0.25;  // s that a proxy started again is left alone
   for (double at = 1 + gap(random); at < out.duration_s - 1; at += gap(random)) {
     std::vector<std::uint32_t> up;
@@ -107,9 +107,9 @@
     Event event;
     event.kind = Event::Kind::kKillProxy;
     event.at_s = at;
-    event.for_s = down(random);
+    event.duration_s = down(random);
     event.target = up[random() % up.size()];
-    back[event.target] = at + event.for_s + kSettle;
+    back[event.target] = at + event.duration_s + kSettle;
     out.events.push_back(event);
   }
 }
@@ -144,14 +144,14 @@
     from.read_time("setup_work", out.setup_work_s, 0, 10);
     from.read_time("release_work", out.release_work_s, 0, 10);
     from.read_time("full_after", out.full_after_s, 0.01, kDay);
-    from.read_time("reports_every", out.reports_every_s, 0, kDay);
+    from.read_time("reports_every", out.report_interval_s, 0, kDay);
   });
   top.section("rules", [&](config::Section& from) {
     edge::read_rules(from, out.rules);
     from.read_time("drain_grace", out.drain_grace_s, 0, kDay);
   });
   top.read_time("list_delay", out.list_delay_s, 0, kDay);
-  top.read_time("watchdog_interval", out.watchdog_s, 6, kDay);
+  top.read_time("watchdog_interval", out.watchdog_interval_s, 6, kDay);
   top.read("core_watchdog", out.core_watchdog);
   top.read("log_level", out.log_level);
   top.require("classes");
@@ -159,20 +159,20 @@
   if (out.classes.empty()) top.fail("classes", "is empty");
   top.sections("events", [&](config::Section& from) { read_event(from, out); });
   top.section("kills", [&](config::Section& from) {
-    from.read_time("every", out.kill_every_s, 0.01, kDay);
+    from.read_time("every", out.mean_kill_interval_s, 0.01, kDay);
     std::vector<std::string> range;
     from.read_list("down", range);
     if (range.empty()) return;
     if (range.size() != 2) from.fail("down", "is no range of two times");
     try {
-      out.kill_down_least_s = config::parse_time(range[0]);
-      out.kill_down_most_s = config::parse_time(range[1]);
+      out.min_kill_downtime_s = config::parse_time(range[0]);
+      out.max_kill_downtime_s = config::parse_time(range[1]);
     } catch (const std::exception& error) {
       from.fail("down", error.what());
     }
-    if (out.kill_down_least_s > out.kill_down_most_s) from.fail("down", "begins after its end");
+    if (out.min_kill_downtime_s > out.max_kill_downtime_s) from.fail("down", "begins after its end");
   });
-  if (out.kill_every_s > 0) draw_kills(out);
+  if (out.mean_kill_interval_s > 0) draw_kills(out);
   top.finish();
   std::stable_sort(out.events.begin(), out.events.end(),
                    [](const Event& a, const Event& b) { return a.at_s < b.at_s; });
--- a/src/lab/scenario.hpp
+++ b/src/lab/scenario.hpp
@@ -36,10 +36,10 @@
   };
   Kind kind = Kind::kSurge;
   double at_s = 0;
-  double for_s = 0;
+  double duration_s = 0;
   double factor = 1;
   double share = 1;
-  double by_s = 0;
+  double delay_s = 0;
   std::uint32_t result = 5001;  // kReject
   std::uint32_t lines = 1;      // kHotNumber
   std::uint32_t target = 0;     // number of the core server, proxy or caller, from 0
@@ -53,7 +53,7 @@
     std::uint32_t service_identifier = 0;
     double share = 1;   // of the calls
     double hold_s = 5;  // mean time that a call stands
-    Settings::Class told;
+    Settings::Class settings;
   };
   std::string name;
   std::uint32_t seed = 1;
@@ -68,10 +68,10 @@
   double abandon_share = 0;     // of the callers who hang up before the answer
   double setup_work_s = 0.008;  // processor time of a set-up, mean
   double release_work_s = 0.002;
-  double full_after_s = 2;       // a set-up that would wait longer is turned away
-  double list_delay_s = 1;       // from a change to its news
-  double reports_every_s = 0.2;  // a core server's report is refreshed
-  double watchdog_s = 6;         // Tw of proxies and callers
+  double full_after_s = 2;         // a set-up that would wait longer is turned away
+  double list_delay_s = 1;         // from a change to its news
+  double report_interval_s = 0.2;  // a core server's report is refreshed
+  double watchdog_interval_s = 6;  // Tw of proxies and callers
   bool core_watchdog = false;
   std::string log_level = "warning";
   std::vector<Class> classes;
@@ -80,9 +80,9 @@
   std::vector<Event> events;
   // Proxies killed at random, one after the other: one every `kill_every_s` on average, each down for a time
   // drawn from the range; 0: none. Drawn from the seed and added to `events` when the scenario is read.
-  double kill_every_s = 0;
-  double kill_down_least_s = 0.3;
-  double kill_down_most_s = 1.5;
+  double mean_kill_interval_s = 0;
+  double min_kill_downtime_s = 0.3;
+  double max_kill_downtime_s = 1.5;
 };
 
 // Reads and checks; throws config::Error with one line.
@@ -95,7 +95,7 @@
 std::string proxy_name(std::uint32_t number);
 std::string caller_name(std::uint32_t number);
 inline constexpr const char* kRealm = "lab.test";
-inline constexpr const char* kHotNumber = "2340000000";  // kHotNumber's
+inline constexpr const char* kHotCalledNumber = "2340000000";  // kHotNumber's
 
 }  // namespace mintrock::lab
 
--- a/src/lab/soak/soak.cpp
+++ b/src/lab/soak/soak.cpp
@@ -91,7 +91,7 @@
 
   Options options_;
   net::Loop loop_;
-  std::uint32_t ip_ = loopback_of_process(getpid());
+  std::uint32_t ip_ = loopback_for_process(getpid());
   PortFinder ports_{ip_};
   std::mt19937_64 random_;
   std::mt19937_64 dense_random_;
--- a/src/lab/traced_connection.cpp
+++ b/src/lab/traced_connection.cpp
@@ -8,13 +8,13 @@
 
 namespace mintrock::lab {
 
-Line::Line(net::Loop& loop, std::shared_ptr<net::Stream> stream, TraceWriter& trace, std::string who,
-           std::uint64_t number, Handlers handlers)
+TracedConnection::TracedConnection(net::Loop& loop, std::shared_ptr<net::Stream> stream, TraceWriter& trace,
+                                   std::string who, std::uint64_t number, Handlers handlers)
     : loop_(loop),
       stream_(std::move(stream)),
       trace_(trace),
-      who_(std::move(who)),
-      number_(number),
+      local_name_(std::move(who)),
+      id_(number),
       framer_(1 << 20),
       handlers_(std::move(handlers)) {
   local_port_ = stream_->local().port;
@@ -42,39 +42,40 @@
   stream_->set(std::move(to));
 }
 
-Line::~Line() {
+TracedConnection::~TracedConnection() {
   *alive_ = false;
   if (stream_->is_open()) close();
 }
 
-void Line::record(v1::Record::Kind kind, bool outgoing, std::string_view frame, const std::string& text) {
+void TracedConnection::record(v1::Record::Kind kind, bool outgoing, std::string_view frame,
+                              const std::string& text) {
   v1::Record out;
   out.set_time(loop_.now());
   out.set_kind(kind);
-  out.set_who(who_);
-  out.set_with(with);
+  out.set_who(local_name_);
+  out.set_with(peer);
   out.set_outgoing(outgoing);
   out.set_frame(frame.data(), frame.size());
   out.set_text(text);
   out.set_local_port(local_port_);
   out.set_remote_port(remote_port_);
-  out.set_connection(number_);
+  out.set_connection(id_);
   trace_.write(out);
 }
 
-void Line::send(const std::string& frame) {
+void TracedConnection::send(const std::string& frame) {
   if (!stream_->is_open()) return;
   record(v1::Record::FRAME, true, frame, "");
   stream_->write(frame);
 }
 
-void Line::reset() {
+void TracedConnection::reset() {
   if (!stream_->is_open()) return;
   record(v1::Record::CLOSED, true, {}, "reset");
   stream_->reset();
 }
 
-void Line::close() {
+void TracedConnection::close() {
   if (!stream_->is_open()) return;
   record(v1::Record::CLOSED, true, {}, "closed");
   stream_->close_after_flush();
@@ -124,8 +125,8 @@
   return cer.finish();
 }
 
-std::string answer_base(const diameter::MessageView& request, const std::string& host,
-                        std::uint32_t origin_state) {
+std::string make_base_answer(const diameter::MessageView& request, const std::string& host,
+                             std::uint32_t origin_state) {
   namespace avp = diameter::avp;
   diameter::Builder answer(diameter::answer_header(request.header, false));
   answer.u32(avp::kResultCode, diameter::kSuccess);
--- a/src/lab/traced_connection.hpp
+++ b/src/lab/traced_connection.hpp
@@ -15,33 +15,33 @@
 
 namespace mintrock::lab {
 
-class Line {
+class TracedConnection {
  public:
   struct Handlers {
     std::function<void()> on_open;  // outgoing ones
     std::function<void(const diameter::MessageView&)> on_message;
     std::function<void(const std::string& why)> on_closed;
   };
-  Line(net::Loop& loop, std::shared_ptr<net::Stream> stream, TraceWriter& trace, std::string who,
-       std::uint64_t number, Handlers handlers);
-  ~Line();
-  Line(const Line&) = delete;
+  TracedConnection(net::Loop& loop, std::shared_ptr<net::Stream> stream, TraceWriter& trace, std::string who,
+                   std::uint64_t number, Handlers handlers);
+  ~TracedConnection();
+  TracedConnection(const TracedConnection&) = delete;
 
   void send(const std::string& frame);
   void send_raw(std::string_view bytes) { stream_->write(bytes); }  // garbage: no frame, not traced as one
   void reset();
   void close();
-  std::string with;  // the identity at the other end, once known
+  std::string peer;  // the identity at the other end, once known
   net::Stream& stream() { return *stream_; }
-  std::uint64_t number() const { return number_; }
+  std::uint64_t id() const { return id_; }
 
  private:
   void record(v1::Record::Kind kind, bool outgoing, std::string_view frame, const std::string& text);
   net::Loop& loop_;
   std::shared_ptr<net::Stream> stream_;
   TraceWriter& trace_;
-  std::string who_;
-  std::uint64_t number_;
+  std::string local_name_;
+  std::uint64_t id_;
   std::uint16_t local_port_ = 0;
   std::uint16_t remote_port_ = 0;
   diameter::Framer framer_;
@@ -60,8 +60,8 @@
 
 // A stand-in's CER; and the success that answers a CER, DWR or DPR.
 std::string make_cer(const std::string& host, std::uint32_t hop_by_hop, std::uint32_t origin_state);
-std::string answer_base(const diameter::MessageView& request, const std::string& host,
-                        std::uint32_t origin_state);
+std::string make_base_answer(const diameter::MessageView& request, const std::string& host,
+                             std::uint32_t origin_state);
 
 // A fact about a stand-in, as JSON.
 void write_note(TraceWriter& trace, double time, const std::string& who, const std::string& with,
--- a/tests/edge/edge_test.cpp
+++ b/tests/edge/edge_test.cpp
@@ -27,7 +27,7 @@
 using diameter::Builder;
 using diameter::Header;
 using diameter::MessageView;
-using lab::Line;
+using lab::TracedConnection;
 
 constexpr double kBound = 20;  // s; far beyond anything that goes well
 
@@ -53,11 +53,11 @@
   std::string host;
   std::uint32_t origin_state = 1;
   std::unique_ptr<net::Listener> listener;
-  std::vector<std::unique_ptr<Line>> lines;
+  std::vector<std::unique_ptr<TracedConnection>> lines;
   std::vector<bool> open;
-  std::function<void(Line&, const MessageView&)> on_setup;  // CCR INITIAL
-  std::function<void(Line&, const MessageView&)> on_end;    // CCR TERMINATION; unset: success
-  std::map<std::string, std::string> answers;               // the last one of set-ups, by session, whole
+  std::function<void(TracedConnection&, const MessageView&)> on_setup;  // CCR INITIAL
+  std::function<void(TracedConnection&, const MessageView&)> on_end;    // CCR TERMINATION; unset: success
+  std::map<std::string, std::string> answers;  // the last one of set-ups, by session, whole
   std::map<std::string, std::vector<std::uint32_t>> end_results;
   int setups = 0, ends = 0, aborts = 0, dprs = 0, ceas = 0;
   bool answer_cer = true;
@@ -77,7 +77,7 @@
   void add(std::shared_ptr<net::Stream> stream, bool calls) {
     const std::size_t place = lines.size();
     open.push_back(true);
-    Line::Handlers handlers;
+    TracedConnection::Handlers handlers;
     if (calls) {
       handlers.on_open = [this, place] {
         Header header;
@@ -91,9 +91,10 @@
     }
     handlers.on_message = [this, place](const MessageView& view) { take(*lines[place], view); };
     handlers.on_closed = [this, place](const std::string&) { open[place] = false; };
-    lines.push_back(std::make_unique<Line>(loop, std::move(stream), trace, host, place, std::move(handlers)));
+    lines.push_back(
+        std::make_unique<TracedConnection>(loop, std::move(stream), trace, host, place, std::move(handlers)));
   }
-  void success(Line& line, const MessageView& view) {
+  void success(TracedConnection& line, const MessageView& view) {
     Builder b(diameter::answer_header(view.header, false));
     if (const auto* session = view.find(avp::kSessionId.code)) b.raw(session->whole);
     b.u32(avp::kResultCode, diameter::kSuccess);
@@ -110,7 +111,7 @@
     }
     line.send(b.finish());
   }
-  void take(Line& line, const MessageView& view) {
+  void take(TracedConnection& line, const MessageView& view) {
     if (!view.header.request()) {
       if (view.header.command == diameter::kCapabilitiesExchange) {
         ceas += 1;
@@ -175,7 +176,7 @@
  protected:
   Rig() : core(loop, "core-0.test"), caller(loop, "dock-1.test") {
     init_logging_once();
-    core.on_setup = [this](Line& line, const MessageView& view) { core.success(line, view); };
+    core.on_setup = [this](TracedConnection& line, const MessageView& view) { core.success(line, view); };
     listen_list({});
   }
   void listen_list(net::Address at) {
@@ -265,7 +266,7 @@
   start();
   connect();
   std::string got;
-  core.on_setup = [&](Line& line, const MessageView& view) {
+  core.on_setup = [&](TracedConnection& line, const MessageView& view) {
     EXPECT_EQ(view.find(avp::kDestinationHost.code)->data, "core-0.test");
     EXPECT_EQ(view.find(avp::kOriginHost.code)->data, "dock-1.test") << "a proxy leaves the origin";
     EXPECT_EQ(view.find(avp::kRouteRecord.code)->data, "dock-1.test");
@@ -290,7 +291,7 @@
 TEST_F(Rig, ACallersLostConnectionEndsItsCallsAndReleasesThem) {
   start();
   connect();
-  core.on_setup = [](Line&, const MessageView&) {};  // takes set-ups, answers none
+  core.on_setup = [](TracedConnection&, const MessageView&) {};  // takes set-ups, answers none
   for (std::uint32_t i = 0; i < 2; ++i) caller.ccr("s" + std::to_string(i), 1, i);
   wait([&] { return core.setups == 2; }, "set-ups are out");
   caller.lines.back()->reset();
@@ -304,7 +305,7 @@
   start();
   connect();
   Seen held;
-  core.on_setup = [&](Line& line, const MessageView& view) {
+  core.on_setup = [&](TracedConnection& line, const MessageView& view) {
     held.bytes = bytes_of(view);
     (void)line;
   };
@@ -322,7 +323,7 @@
 TEST_F(Rig, AnAnswerThatComesTwiceIsAnsweredOnce) {
   start();
   connect();
-  core.on_setup = [&](Line& line, const MessageView& view) {
+  core.on_setup = [&](TracedConnection& line, const MessageView& view) {
     core.success(line, view);
     core.success(line, view);
   };
@@ -455,7 +456,7 @@
 TEST_F(Rig, AnAttemptLostWithItsConnectionIsReleasedLater) {
   start([](Config& config) { config.settings.attempt_limit = 1; });
   connect();
-  core.on_setup = [](Line& line, const MessageView&) { line.reset(); };
+  core.on_setup = [](TracedConnection& line, const MessageView&) { line.reset(); };
   caller.ccr("doubt", 1, 1);
   wait([&] { return caller.results["doubt"].size() == 1; }, "an answer");
   wait([&] { return core.ends == 1; }, "its release reaches the server");
@@ -496,7 +497,7 @@
   start();
   connect();
   Seen held;
-  core.on_setup = [&](Line&, const MessageView& view) { held.bytes = bytes_of(view); };
+  core.on_setup = [&](TracedConnection&, const MessageView& view) { held.bytes = bytes_of(view); };
   caller.ccr("open", 1, 1);
   wait([&] { return core.setups == 1; }, "it is out");
   edge->drain();
@@ -568,7 +569,7 @@
 TEST_F(Rig, APermanentErrorReachesTheCallerAndTheOperators) {
   start();
   connect();
-  core.on_setup = [&](Line& line, const MessageView& view) {
+  core.on_setup = [&](TracedConnection& line, const MessageView& view) {
     diameter::LocalNode local;
     local.host = core.host;
     local.realm = "test";
@@ -604,7 +605,7 @@
 TEST_F(Rig, AnErrorAnswerWithoutItsSessionIsUnderstood) {
   start();
   connect();
-  core.on_setup = [&](Line& line, const MessageView& view) {
+  core.on_setup = [&](TracedConnection& line, const MessageView& view) {
     Builder b(diameter::answer_header(view.header, true));
     b.u32(avp::kResultCode, 3007).text(avp::kOriginHost, core.host).text(avp::kOriginRealm, "test");
     line.send(b.finish());
@@ -625,7 +626,7 @@
     return count;
   };
   int seen = -1;
-  core.on_setup = [&](Line& line, const MessageView& view) {
+  core.on_setup = [&](TracedConnection& line, const MessageView& view) {
     seen = foreign(view);
     Builder b(diameter::answer_header(view.header, true));
     b.raw(view.find(avp::kSessionId.code)->whole).u32(avp::kResultCode, diameter::kTooBusy);
@@ -648,7 +649,7 @@
   Builder extra{Header{}};
   extra.text(avp::kSubscriptionId, "whatever stands inside").u32(avp::kValidityTime, 60);
   bool passed = false;
-  core.on_setup = [&](Line& line, const MessageView& view) {
+  core.on_setup = [&](TracedConnection& line, const MessageView& view) {
     const auto* found = view.find(avp::kSubscriptionId.code);
     passed = found != nullptr && found->data == "whatever stands inside";
     core.success(line, view);
@@ -696,7 +697,7 @@
   caller.ccr("s", 1, 1);
   wait([&] { return caller.results["s"].size() == 1; }, "it stands");
   std::string held;
-  core.on_end = [&](Line&, const MessageView& view) { held = bytes_of(view); };
+  core.on_end = [&](TracedConnection&, const MessageView& view) { held = bytes_of(view); };
   caller.ccr("s", 3, 2);
   wait([&] { return !held.empty(); }, "the end reaches the core server");
   EXPECT_TRUE(caller.end_results.empty());
@@ -719,7 +720,7 @@
   wait([&] { return caller.end_results["lost"].size() == 1; }, "an answer");
   EXPECT_EQ(core.ends, 1);
   EXPECT_EQ(caller.end_results["lost"][0], diameter::kSuccess);
-  core.on_end = [&](Line& line, const MessageView& view) {
+  core.on_end = [&](TracedConnection& line, const MessageView& view) {
     diameter::LocalNode local;
     local.host = core.host;
     local.realm = "test";
@@ -733,7 +734,7 @@
 TEST_F(Rig, AnEndThatNobodyConfirmsIsAnsweredInTime) {
   start([](Config& c) { c.callers.end_wait_s = 0.05; });
   connect();
-  core.on_end = [](Line&, const MessageView&) {};
+  core.on_end = [](TracedConnection&, const MessageView&) {};
   caller.ccr("s", 3, 1);
   wait([&] { return caller.end_results["s"].size() == 1; }, "an answer");
   EXPECT_EQ(caller.end_results["s"][0], diameter::kUnableToDeliver);
--- a/tests/lab/checker_test.cpp
+++ b/tests/lab/checker_test.cpp
@@ -31,7 +31,7 @@
     Scenario::Class c;
     c.name = "a";
     c.service_identifier = 1;
-    c.told.aim_s = 1;
+    c.settings.aim_s = 1;
     scenario.classes = {c};
   }
 
--- a/tests/lab/import_day_test.cpp
+++ b/tests/lab/import_day_test.cpp
@@ -81,7 +81,7 @@
   EXPECT_NEAR(got.scenario.rate, 0.5 * 50 * 3, 0.1);
   EXPECT_NEAR(got.scenario.setup_work_s + got.scenario.release_work_s, 0.02, 0.001);
   EXPECT_EQ(got.scenario.rules.overload_factor, 3.0);
-  EXPECT_EQ(got.scenario.classes[0].told.effect, Effect::kOnce);
+  EXPECT_EQ(got.scenario.classes[0].settings.effect, Effect::kOnce);
   EXPECT_NEAR(got.scenario.patience_s, 2.7, 1e-6);
 }
 
--- a/tests/lab/process_test.cpp
+++ b/tests/lab/process_test.cpp
@@ -15,7 +15,7 @@
   constexpr pid_t kLargest = (1 << 22) - 1;
   std::set<std::uint32_t> taken = {kLoopback};
   for (const pid_t process : {1, 2, 255, 256, 257, 65535, 65536, 70000, 1 << 21, kLargest - 1, kLargest}) {
-    const std::uint32_t ip = loopback_of_process(process);
+    const std::uint32_t ip = loopback_for_process(process);
     EXPECT_EQ(ip & kNetworkMask, kNetwork);
     EXPECT_TRUE(taken.insert(ip).second) << process;
   }
--- a/tests/lab/progress_test.cpp
+++ b/tests/lab/progress_test.cpp
@@ -16,11 +16,11 @@
   Event swallow;
   swallow.kind = Event::Kind::kSwallow;
   swallow.at_s = 10;
-  swallow.for_s = 5;
+  swallow.duration_s = 5;
   swallow.target = 2;
   Event surge;
   surge.at_s = 20;
-  surge.for_s = 5;
+  surge.duration_s = 5;
   surge.factor = 1.5;
   s.events = {swallow, surge};
   Checker::Progress before, now;
@@ -29,10 +29,10 @@
   now.stood = 80;
   now.other = 10;
   now.rules = {{"one answer", 1, 0, {}, 0.5, ""}, {"drains kept", 1, 3, {}, 1.2, ""}};
-  EXPECT_EQ(progress_line(s, 12, before, now),
+  EXPECT_EQ(format_progress_line(s, 12, before, now),
             "  12 s      200 calls   75.0% stand  answer 50% drain 120% BROKEN 3 | swallow 2");
-  EXPECT_NE(progress_line(s, 21, before, now).find("| surge x1.5"), std::string::npos);
-  EXPECT_EQ(progress_line(s, 16, before, now).find('|'), std::string::npos) << "over by then";
+  EXPECT_NE(format_progress_line(s, 21, before, now).find("| surge x1.5"), std::string::npos);
+  EXPECT_EQ(format_progress_line(s, 16, before, now).find('|'), std::string::npos) << "over by then";
 }
 
 CheckReport two_seconds() {
--- a/tests/lab/scenario_test.cpp
+++ b/tests/lab/scenario_test.cpp
@@ -40,7 +40,7 @@
     int down = 1;
     for (std::size_t k = 0; k < i; ++k) {
       const Event& before = one.events[k];
-      const bool still = before.at_s + before.for_s > one.events[i].at_s;
+      const bool still = before.at_s + before.duration_s > one.events[i].at_s;
       down += still;
       EXPECT_FALSE(still && before.target == one.events[i].target) << "killed while down";
     }
--- a/tests/lab/soak/core_server_test.cpp
+++ b/tests/lab/soak/core_server_test.cpp
@@ -94,7 +94,7 @@
   TextWatcher watcher;
   std::ostream trace{&watcher};
   Ledger ledger{Limits{}, &trace};
-  CoreServer server{loop, loopback_of_process(getpid()), ledger, kServer, 1, always_well(), 1};
+  CoreServer server{loop, loopback_for_process(getpid()), ledger, kServer, 1, always_well(), 1};
   platform::LineCutter cutter;
   bool released = false;
 };
