--- a/tests/lab/processor_test.cpp
+++ b/tests/lab/processor_test.cpp
@@ -42,8 +42,8 @@
 }
 
 TEST(ColdBudget, CountsWithinItsWindowAndEndsOnceWarm) {
-  ColdBudget b(WarmUp{0.5, 10, 0}, 10, 2,
-               1);  // 2 x 10 x about 0.525 (the mean share in the first second): 10.5
+  // The limit is 2 x 10 x about 0.525 (the mean share in the first second): 10.5
+  ColdBudget b(WarmUp{0.5, 10, 0}, 10, 2, 1);
   double load = 0;
   for (int i = 0; i < 10; ++i) load = b.record_arrival(0.1);
   EXPECT_LT(load, 1);
