--- a/src/lab/line.cpp
+++ b/src/lab/traced_connection.cpp
@@ -1,4 +1,4 @@
-#include "lab/line.hpp"
+#include "lab/traced_connection.hpp"
 
 #include <utility>
 
@@ -8,24 +8,24 @@
 
 namespace mintrock::lab {
 
-Line::Line(net::Loop& loop, std::shared_ptr<net::Stream> stream, TraceWriter& trace, std::string who,
-           std::uint64_t number, Handlers handlers)
+TracedConnection::TracedConnection(net::Loop& loop, std::shared_ptr<net::Stream> stream, TraceWriter& trace,
+                                   std::string local_name, std::uint64_t id, Handlers handlers)
     : loop_(loop),
       stream_(std::move(stream)),
       trace_(trace),
-      who_(std::move(who)),
-      number_(number),
+      local_name_(std::move(local_name)),
+      id_(id),
       framer_(1 << 20),
       handlers_(std::move(handlers)) {
   local_port_ = stream_->local().port;
   remote_port_ = stream_->remote().port;
-  net::Stream::Handlers to;
-  to.on_connected = [this] {
+  net::Stream::Handlers stream_handlers;
+  stream_handlers.on_connected = [this] {
     local_port_ = stream_->local().port;
     record(v1::Record::OPENED, true, {}, "");
     if (handlers_.on_open) handlers_.on_open();
   };
-  to.on_bytes = [this](std::string_view bytes) {
+  stream_handlers.on_bytes = [this](std::string_view bytes) {
     const std::shared_ptr<bool> alive = alive_;
     framer_.feed(bytes);
     std::string_view frame;
@@ -35,46 +35,47 @@
       if (!diameter::decode(frame, view)) handlers_.on_message(view);
     }
   };
-  to.on_closed = [this](const std::string& why) {
-    record(v1::Record::CLOSED, false, {}, why);
-    if (handlers_.on_closed) handlers_.on_closed(why);
+  stream_handlers.on_closed = [this](const std::string& reason) {
+    record(v1::Record::CLOSED, false, {}, reason);
+    if (handlers_.on_closed) handlers_.on_closed(reason);
   };
-  stream_->set_handlers(std::move(to));
+  stream_->set_handlers(std::move(stream_handlers));
 }
 
-Line::~Line() {
+TracedConnection::~TracedConnection() {
   *alive_ = false;
   if (stream_->is_open()) close();
 }
 
-void Line::record(v1::Record::Kind kind, bool outgoing, std::string_view frame, const std::string& text) {
+void TracedConnection::record(v1::Record::Kind kind, bool outgoing, std::string_view frame,
+                              const std::string& text) {
   v1::Record out;
   out.set_time(loop_.now());
   out.set_kind(kind);
-  out.set_who(who_);
-  out.set_with(with);
+  out.set_who(local_name_);
+  out.set_with(peer);
   out.set_outgoing(outgoing);
   out.set_frame(frame.data(), frame.size());
   out.set_text(text);
   out.set_local_port(local_port_);
   out.set_remote_port(remote_port_);
-  out.set_connection(number_);
+  out.set_connection(id_);
   trace_.write(out);
 }
 
-void Line::send(const std::string& frame) {
+void TracedConnection::send(const std::string& frame) {
   if (!stream_->is_open()) return;
   record(v1::Record::FRAME, true, frame, "");
   stream_->write(frame);
 }
 
-void Line::reset() {
+void TracedConnection::reset() {
   if (!stream_->is_open()) return;
   record(v1::Record::CLOSED, true, {}, "reset");
   stream_->reset();
 }
 
-void Line::close() {
+void TracedConnection::close() {
   if (!stream_->is_open()) return;
   record(v1::Record::CLOSED, true, {}, "closed");
   stream_->close_after_flush();
@@ -93,10 +94,10 @@
 
 diameter::Builder begin_call_request(const std::string& host, const std::string& session, std::uint32_t type,
                                      std::uint32_t hop_by_hop, std::uint32_t end_to_end,
-                                     std::uint8_t more_flags) {
+                                     std::uint8_t extra_flags) {
   namespace avp = diameter::avp;
   diameter::Header header;
-  header.flags = static_cast<std::uint8_t>(diameter::kRequest | diameter::kProxiable | more_flags);
+  header.flags = static_cast<std::uint8_t>(diameter::kRequest | diameter::kProxiable | extra_flags);
   header.command = diameter::kCreditControl;
   header.application = diameter::kApplicationCreditControl;
   header.hop_by_hop = hop_by_hop;
@@ -124,8 +125,8 @@
   return cer.finish();
 }
 
-std::string answer_base(const diameter::MessageView& request, const std::string& host,
-                        std::uint32_t origin_state) {
+std::string make_base_answer(const diameter::MessageView& request, const std::string& host,
+                             std::uint32_t origin_state) {
   namespace avp = diameter::avp;
   diameter::Builder answer(diameter::answer_header(request.header, false));
   answer.u32(avp::kResultCode, diameter::kSuccess);
--- a/tests/edge/edge_test.cpp
+++ b/tests/edge/edge_test.cpp
@@ -17,7 +17,7 @@
 
 #include "diameter/dictionary.hpp"
 #include "edge/logging.hpp"
-#include "lab/line.hpp"
+#include "lab/traced_connection.hpp"
 
 namespace mintrock::edge {
 namespace {
@@ -26,7 +26,7 @@
 using diameter::Builder;
 using diameter::Header;
 using diameter::MessageView;
-using lab::Line;
+using lab::TracedConnection;
 
 constexpr double kWaitTimeout = 20;  // s; far longer than any step takes
 
@@ -52,10 +52,10 @@
   std::string host;
   std::uint32_t origin_state = 1;
   std::unique_ptr<net::Listener> listener;
-  std::vector<std::unique_ptr<Line>> connections;
+  std::vector<std::unique_ptr<TracedConnection>> connections;
   std::vector<bool> open;
-  std::function<void(Line&, const MessageView&)> on_setup;        // CCR INITIAL
-  std::function<void(Line&, const MessageView&)> on_termination;  // CCR TERMINATION; unset: success
+  std::function<void(TracedConnection&, const MessageView&)> on_setup;        // CCR INITIAL
+  std::function<void(TracedConnection&, const MessageView&)> on_termination;  // CCR TERMINATION; unset: success
   std::map<std::string, std::string> answers;  // last set-up answer of each session, encoded
   std::map<std::string, std::vector<std::uint32_t>> end_results;  // of terminations, by session
   int setups = 0, ends = 0, aborts = 0, dprs = 0, ceas = 0;
@@ -76,7 +76,7 @@
   void add_connection(std::shared_ptr<net::Stream> stream, bool initiates) {
     const std::size_t index = connections.size();
     open.push_back(true);
-    Line::Handlers handlers;
+    TracedConnection::Handlers handlers;
     if (initiates) {
       handlers.on_open = [this, index] {
         Header header;
@@ -91,9 +91,9 @@
     handlers.on_message = [this, index](const MessageView& view) { on_message(*connections[index], view); };
     handlers.on_closed = [this, index](const std::string&) { open[index] = false; };
     connections.push_back(
-        std::make_unique<Line>(loop, std::move(stream), trace, host, index, std::move(handlers)));
+        std::make_unique<TracedConnection>(loop, std::move(stream), trace, host, index, std::move(handlers)));
   }
-  void send_success(Line& line, const MessageView& view) {
+  void send_success(TracedConnection& line, const MessageView& view) {
     Builder b(diameter::answer_header(view.header, false));
     if (const auto* session = view.find(avp::kSessionId.code)) b.raw(session->encoded);
     b.u32(avp::kResultCode, diameter::kSuccess);
@@ -110,7 +110,7 @@
     }
     line.send(b.finish());
   }
-  void on_message(Line& line, const MessageView& view) {
+  void on_message(TracedConnection& line, const MessageView& view) {
     if (!view.header.request()) {
       if (view.header.command == diameter::kCapabilitiesExchange) {
         ceas += 1;
@@ -175,7 +175,7 @@
  protected:
   EdgeTest() : core(loop, "core-0.test"), caller(loop, "dock-1.test") {
     init_logging_once();
-    core.on_setup = [this](Line& line, const MessageView& view) { core.send_success(line, view); };
+    core.on_setup = [this](TracedConnection& line, const MessageView& view) { core.send_success(line, view); };
     start_list_server({});
   }
   void start_list_server(net::Address at) {
@@ -266,7 +266,7 @@
   start();
   connect();
   std::string got;
-  core.on_setup = [&](Line& line, const MessageView& view) {
+  core.on_setup = [&](TracedConnection& line, const MessageView& view) {
     EXPECT_EQ(view.find(avp::kDestinationHost.code)->data, "core-0.test");
     EXPECT_EQ(view.find(avp::kOriginHost.code)->data, "dock-1.test") << "a proxy keeps the Origin-Host";
     EXPECT_EQ(view.find(avp::kRouteRecord.code)->data, "dock-1.test");
@@ -291,7 +291,7 @@
 TEST_F(EdgeTest, LosingACallersConnectionReleasesItsUnansweredCalls) {
   start();
   connect();
-  core.on_setup = [](Line&, const MessageView&) {};  // never answers
+  core.on_setup = [](TracedConnection&, const MessageView&) {};  // never answers
   for (std::uint32_t i = 0; i < 2; ++i) caller.send_ccr("s" + std::to_string(i), 1, i);
   wait_until([&] { return core.setups == 2; }, "both set-ups are sent");
   caller.connections.back()->reset();
@@ -306,7 +306,7 @@
   start();
   connect();
   KeptMessage kept;
-  core.on_setup = [&](Line& line, const MessageView& view) {
+  core.on_setup = [&](TracedConnection& line, const MessageView& view) {
     kept.bytes = bytes_of(view);
     (void)line;
   };
@@ -324,7 +324,7 @@
 TEST_F(EdgeTest, DuplicateCoreAnswerIsForwardedOnce) {
   start();
   connect();
-  core.on_setup = [&](Line& line, const MessageView& view) {
+  core.on_setup = [&](TracedConnection& line, const MessageView& view) {
     core.send_success(line, view);
     core.send_success(line, view);
   };
@@ -459,7 +459,7 @@
 TEST_F(EdgeTest, AttemptLostWithItsConnectionIsReleasedLater) {
   start([](Config& config) { config.settings.attempt_limit = 1; });
   connect();
-  core.on_setup = [](Line& line, const MessageView&) { line.reset(); };
+  core.on_setup = [](TracedConnection& line, const MessageView&) { line.reset(); };
   caller.send_ccr("lost", 1, 1);
   wait_until([&] { return caller.results["lost"].size() == 1; }, "an answer");
   wait_until([&] { return core.ends == 1; }, "the release reaches the server");
@@ -501,7 +501,7 @@
   start();
   connect();
   KeptMessage kept;
-  core.on_setup = [&](Line&, const MessageView& view) { kept.bytes = bytes_of(view); };
+  core.on_setup = [&](TracedConnection&, const MessageView& view) { kept.bytes = bytes_of(view); };
   caller.send_ccr("open", 1, 1);
   wait_until([&] { return core.setups == 1; }, "the set-up is sent");
   edge->drain();
@@ -574,7 +574,7 @@
 TEST_F(EdgeTest, PermanentErrorIsReportedToTheCallerAndOnAdminPages) {
   start();
   connect();
-  core.on_setup = [&](Line& line, const MessageView& view) {
+  core.on_setup = [&](TracedConnection& line, const MessageView& view) {
     diameter::LocalNode local;
     local.host = core.host;
     local.realm = "test";
@@ -612,7 +612,7 @@
 TEST_F(EdgeTest, ErrorAnswerWithoutSessionIdIsAccepted) {
   start();
   connect();
-  core.on_setup = [&](Line& line, const MessageView& view) {
+  core.on_setup = [&](TracedConnection& line, const MessageView& view) {
     Builder b(diameter::answer_header(view.header, true));
     b.u32(avp::kResultCode, 3007).text(avp::kOriginHost, core.host).text(avp::kOriginRealm, "test");
     line.send(b.finish());
@@ -633,7 +633,7 @@
     return count;
   };
   int seen = -1;
-  core.on_setup = [&](Line& line, const MessageView& view) {
+  core.on_setup = [&](TracedConnection& line, const MessageView& view) {
     seen = foreign(view);
     Builder b(diameter::answer_header(view.header, true));
     b.raw(view.find(avp::kSessionId.code)->encoded).u32(avp::kResultCode, diameter::kTooBusy);
@@ -656,7 +656,7 @@
   Builder extra{Header{}};
   extra.text(avp::kSubscriptionId, "any payload").u32(avp::kValidityTime, 60);
   bool passed = false;
-  core.on_setup = [&](Line& line, const MessageView& view) {
+  core.on_setup = [&](TracedConnection& line, const MessageView& view) {
     const auto* found = view.find(avp::kSubscriptionId.code);
     passed = found != nullptr && found->data == "any payload";
     core.send_success(line, view);
@@ -704,7 +704,7 @@
   caller.send_ccr("s", 1, 1);
   wait_until([&] { return caller.results["s"].size() == 1; }, "the call is established");
   std::string kept;
-  core.on_termination = [&](Line&, const MessageView& view) { kept = bytes_of(view); };
+  core.on_termination = [&](TracedConnection&, const MessageView& view) { kept = bytes_of(view); };
   caller.send_ccr("s", 3, 2);
   wait_until([&] { return !kept.empty(); }, "the termination reaches the core server");
   EXPECT_TRUE(caller.end_results.empty());
@@ -727,7 +727,7 @@
   wait_until([&] { return caller.end_results["lost"].size() == 1; }, "an answer");
   EXPECT_EQ(core.ends, 1);
   EXPECT_EQ(caller.end_results["lost"][0], diameter::kSuccess);
-  core.on_termination = [&](Line& line, const MessageView& view) {
+  core.on_termination = [&](TracedConnection& line, const MessageView& view) {
     diameter::LocalNode local;
     local.host = core.host;
     local.realm = "test";
@@ -741,7 +741,7 @@
 TEST_F(EdgeTest, UnconfirmedTerminationIsAnsweredAtItsTimeout) {
   start([](Config& c) { c.callers.end_wait_s = 0.05; });
   connect();
-  core.on_termination = [](Line&, const MessageView&) {};
+  core.on_termination = [](TracedConnection&, const MessageView&) {};
   caller.send_ccr("s", 3, 1);
   wait_until([&] { return caller.end_results["s"].size() == 1; }, "an answer");
   EXPECT_EQ(caller.end_results["s"][0], diameter::kUnableToDeliver);
--- a/tests/lab/soak/core_server_test.cpp
+++ b/tests/lab/soak/core_server_test.cpp
@@ -94,7 +94,7 @@
   TextTrigger trigger;
   std::ostream trace{&trigger};
   RuleChecker checker{Limits{}, &trace};
-  CoreServer server{loop, loopback_of_process(getpid()), checker, kServer, 1, normal_answers(), 1};
+  CoreServer server{loop, loopback_for_process(getpid()), checker, kServer, 1, normal_answers(), 1};
   platform::LineSplitter line_reader;
   bool release_received = false;
 };
