--- a/src/lab/bench.cpp
+++ b/src/lab/bench.cpp
@@ -319,7 +319,7 @@
   return 0;
 }
 
-int run_restart(const BenchOptions& options) {
+int run_restart_bench(const BenchOptions& options) {
   const std::string dir = make_temporary_folder("mintrock-restart");
   PortFinder ports;
   const std::uint16_t core = ports.next(), nobody = ports.next();
@@ -400,7 +400,7 @@
     }
   }
   // Relay and proxy at the same time and the same rate, call by call.
-  const double rate = options.rate > 0 ? options.rate : median(targets[2].rates) * kPairedShare;
+  const double rate = options.paired_rate > 0 ? options.paired_rate : median(targets[2].rates) * kPairedShare;
   std::vector<double> added;
   std::uint64_t unpaired = 0;
   for (std::uint32_t round = 0; round < options.rounds; ++round) {
@@ -438,7 +438,7 @@
   row("relay", "relay", targets[1].delays);
   row("edge", "edge", targets[2].delays);
   row("edge - relay, by pair", "added", added);
-  if (!options.report.empty()) std::ofstream(options.report) << json.dump(2) << "\n";
+  if (!options.report_file.empty()) std::ofstream(options.report_file) << json.dump(2) << "\n";
   children.stop();
   std::filesystem::remove_all(dir);
   return 0;
--- a/src/lab/bench.hpp
+++ b/src/lab/bench.hpp
@@ -13,14 +13,14 @@
   std::string edge_program;
   double seconds = 3;  // of each measurement
   std::uint32_t rounds = 3;
-  double rate = 0;  // calls a second of the paired measurement; 0: a quarter of the proxy's most
+  double paired_rate = 0;  // calls a second of the paired measurement; 0: a quarter of the proxy's most
   std::uint32_t outstanding = 64;  // calls at once, where the highest rate is sought
-  std::string report;              // JSON
+  std::string report_file;         // JSON
 };
 int run_bench(const BenchOptions& options);
 // What a proxy just started refuses, with a core server that is idle and fast: `outstanding` calls at once,
 // and 200, 1,000 and 5,000 calls a second.
-int run_restart(const BenchOptions& options);
+int run_restart_bench(const BenchOptions& options);
 
 // Parts of it, each a process of its own.
 int run_bench_core(std::uint16_t port);
--- a/src/lab/checker.cpp
+++ b/src/lab/checker.cpp
@@ -77,8 +77,8 @@
   Progress progress() const {
     Progress out;
     out.tries = tries_.size();
-    out.stood = stood_;
-    out.other = other_;
+    out.established = stood_;
+    out.unsuccessful = other_;
     out.rules = rules_;
     return out;
   }
@@ -102,16 +102,16 @@
   enum Rule { kAnswer, kOne, kDrain, kCold, kRelease };
 
   void broke(Rule rule, const std::string& what) {
-    RuleVerdict& verdict = rules_[rule];
-    verdict.broken += 1;
+    RuleResult& verdict = rules_[rule];
+    verdict.violations += 1;
     if (verdict.examples.size() < kExamples) verdict.examples.push_back(what);
   }
   void margin(Rule rule, double of_limit, const std::string& what) {
-    RuleVerdict& verdict = rules_[rule];
+    RuleResult& verdict = rules_[rule];
     verdict.checked += 1;
-    if (of_limit > verdict.worst || verdict.worst_text.empty()) {
-      verdict.worst = of_limit;
-      verdict.worst_text = what;
+    if (of_limit > verdict.worst_ratio || verdict.worst_detail.empty()) {
+      verdict.worst_ratio = of_limit;
+      verdict.worst_detail = what;
     }
   }
 
@@ -252,7 +252,7 @@
     const std::string event = text.value("event", "");
     if (event == "fault") {
       const std::string kind = text.value("kind", "?");
-      report_.troubles[kind] += 1;
+      report_.fault_counts[kind] += 1;
       report_.faults.push_back({record.time(), text.value("for", 0.0),
                                 kind + " " + record.who().substr(0, record.who().find('.'))});
     }
@@ -367,16 +367,16 @@
     for (const auto& [session, each] : tries_) {
       const auto known = classes.find(each.service);
       if (known == classes.end()) continue;
-      ClassCounts& counts = report_.classes[known->second->name];
+      ClassSummary& counts = report_.classes[known->second->name];
       counts.tries += 1;
       report_.tries += 1;
       Wish& wish = wishes[wish_of(session)];
       if (each.answers == 0) {
-        counts.connection += each.closed < kNever;
+        counts.connection_lost += each.closed < kNever;
       } else if (each.ended < each.answered) {
         counts.abandoned += 1;
       } else if (each.result / 1000 == 2) {
-        counts.stood += 1;
+        counts.established += 1;
         counts.cut += each.cut < kNever;
         delays.push_back(each.answered - each.sent);
         if (each.cut == kNever && each.answered - wish.first <= known->second->told.aim_s) wish.served = true;
@@ -398,20 +398,20 @@
       }
       worth[window] += value;
       served[window] += wish.served ? value : 0;
-      ClassCounts& counts = report_.classes[known->second->name];
+      ClassSummary& counts = report_.classes[known->second->name];
       counts.offered += 1;
-      counts.served += wish.served;
+      counts.served_share += wish.served;
     }
     for (auto& [name, counts] : report_.classes)
-      counts.served /= std::max<double>(1, static_cast<double>(counts.offered));
+      counts.served_share /= std::max<double>(1, static_cast<double>(counts.offered));
     for (std::size_t i = 0; i < worth.size(); ++i)
-      report_.service.push_back(worth[i] > 0 ? served[i] / worth[i] : 1);
-    for (FaultOfRun& fault : report_.faults) fault.at -= begin;
+      report_.served_share_per_window.push_back(worth[i] > 0 ? served[i] / worth[i] : 1);
+    for (InjectedFault& fault : report_.faults) fault.start_s -= begin;
     count_seconds(begin);
     std::sort(delays.begin(), delays.end());
     if (!delays.empty()) {
-      report_.delay_p50 = delays[delays.size() / 2];
-      report_.delay_p99 = delays[delays.size() * 99 / 100];
+      report_.delay_p50_s = delays[delays.size() / 2];
+      report_.delay_p99_s = delays[delays.size() * 99 / 100];
     }
     std::vector<double> orphans;
     for (const auto& [session, attempts] : attempts_) {
@@ -422,16 +422,16 @@
         if (each.released < kNever && !told) orphans.push_back(each.released - each.answered);
         if (each.released < kNever || each.gone < kNever) continue;
         (told ? report_.left_behind : report_.orphaned) += 1;
-        if (told && report_.left_examples.size() < kExamples) {
-          report_.left_examples.push_back(session + " at " + each.core + " through " + each.proxy);
+        if (told && report_.left_behind_examples.size() < kExamples) {
+          report_.left_behind_examples.push_back(session + " at " + each.core + " through " + each.proxy);
         }
       }
     }
     std::sort(orphans.begin(), orphans.end());
     report_.orphans_released = orphans.size();
     if (!orphans.empty()) {
-      report_.orphan_p50 = orphans[orphans.size() / 2];
-      report_.orphan_longest = orphans.back();
+      report_.orphan_hold_p50_s = orphans[orphans.size() / 2];
+      report_.orphan_hold_max_s = orphans.back();
     }
   }
 
@@ -463,12 +463,12 @@
     };
     for (const auto& [session, each] : tries_) {
       const std::size_t second = place(each.sent);
-      SecondOfRun& s = report_.seconds[second];
+      SecondSummary& s = report_.seconds[second];
       s.tries += 1;
       if (each.answers == 0) {
         s.unanswered += 1;
       } else if (each.result / 1000 == 2) {
-        s.stood += 1;
+        s.established += 1;
         parts[second].delays.push_back(each.answered - each.sent);
         const auto known = classes.find(each.service);
         auto& [first, served] = wishes.at(wish_of(session));
@@ -487,18 +487,18 @@
       std::vector<double>& delays = parts[i].delays;
       std::sort(delays.begin(), delays.end());
       if (!delays.empty()) {
-        report_.seconds[i].delay_p50 = delays[delays.size() / 2];
-        report_.seconds[i].delay_p99 = delays[delays.size() * 99 / 100];
+        report_.seconds[i].delay_p50_s = delays[delays.size() / 2];
+        report_.seconds[i].delay_p99_s = delays[delays.size() * 99 / 100];
       }
       for (const auto& [name, worth] : parts[i].worth) {
-        report_.seconds[i].served[name] = worth.first / worth.second;
+        report_.seconds[i].served_share[name] = worth.first / worth.second;
       }
     }
   }
 
   const Scenario& scenario_;
   double slack_;  // s; two processes stamp one event when their loops come to it
-  std::vector<RuleVerdict> rules_;
+  std::vector<RuleResult> rules_;
   CheckReport report_;
   std::uint64_t stood_ = 0;  // answers so far
   std::uint64_t other_ = 0;
@@ -513,64 +513,64 @@
 Checker::Checker(const Scenario& scenario, double slack_s)
     : impl_(std::make_unique<Impl>(scenario, slack_s)) {}
 Checker::~Checker() = default;
-void Checker::take(const v1::Record& record) { impl_->take(record); }
+void Checker::add_record(const v1::Record& record) { impl_->take(record); }
 Checker::Progress Checker::progress() const { return impl_->progress(); }
 CheckReport Checker::finish() { return impl_->finish(); }
 
-bool CheckReport::good() const {
+bool CheckReport::passed() const {
   return unaccounted == 0 && left_behind == 0 && tries > 0 &&
-         std::all_of(rules.begin(), rules.end(), [](const RuleVerdict& each) { return each.broken == 0; });
+         std::all_of(rules.begin(), rules.end(), [](const RuleResult& each) { return each.violations == 0; });
 }
 
 std::string CheckReport::json() const {
   nlohmann::ordered_json out;
-  out["good"] = good();
+  out["good"] = passed();
   out["tries"] = tries;
   out["attempts"] = attempts;
   out["unaccounted"] = unaccounted;
   out["left_behind"] = left_behind;
-  out["left_behind_examples"] = left_examples;
+  out["left_behind_examples"] = left_behind_examples;
   out["orphaned_by_killed_proxies"] = orphaned;
   out["orphans_released"] = orphans_released;
-  out["orphans_held_p50_s"] = orphan_p50;
-  out["orphans_held_longest_s"] = orphan_longest;
+  out["orphans_held_p50_s"] = orphan_hold_p50_s;
+  out["orphans_held_longest_s"] = orphan_hold_max_s;
   out["ends_given_up"] = ends_given_up;
-  out["delay_p50_s"] = delay_p50;
-  out["delay_p99_s"] = delay_p99;
-  for (const RuleVerdict& each : rules) {
+  out["delay_p50_s"] = delay_p50_s;
+  out["delay_p99_s"] = delay_p99_s;
+  for (const RuleResult& each : rules) {
     out["rules"].push_back({{"name", each.name},
                             {"checked", each.checked},
-                            {"broken", each.broken},
-                            {"worst_of_limit", each.worst},
-                            {"worst", each.worst_text},
+                            {"broken", each.violations},
+                            {"worst_of_limit", each.worst_ratio},
+                            {"worst", each.worst_detail},
                             {"examples", each.examples}});
   }
   for (const auto& [name, each] : classes) {
     out["classes"][name] = {{"offered", each.offered},
                             {"tries", each.tries},
-                            {"stood", each.stood},
+                            {"stood", each.established},
                             {"refused", each.refused},
                             {"failed", each.failed},
                             {"abandoned", each.abandoned},
-                            {"connection_lost", each.connection},
+                            {"connection_lost", each.connection_lost},
                             {"cut", each.cut},
-                            {"served_in_time", each.served}};
+                            {"served_in_time", each.served_share}};
   }
-  out["service_per_5s"] = service;
-  out["troubles"] = troubles;
-  for (const SecondOfRun& s : seconds) {
-    out["seconds"].push_back({{"at", s.at},
+  out["service_per_5s"] = served_share_per_window;
+  out["troubles"] = fault_counts;
+  for (const SecondSummary& s : seconds) {
+    out["seconds"].push_back({{"at", s.start_s},
                               {"tries", s.tries},
-                              {"stood", s.stood},
+                              {"stood", s.established},
                               {"refused", s.refused},
                               {"failed", s.failed},
                               {"unanswered", s.unanswered},
-                              {"delay_p50_s", s.delay_p50},
-                              {"delay_p99_s", s.delay_p99},
-                              {"served", s.served}});
+                              {"delay_p50_s", s.delay_p50_s},
+                              {"delay_p99_s", s.delay_p99_s},
+                              {"served", s.served_share}});
   }
-  for (const FaultOfRun& f : faults) {
-    out["faults"].push_back({{"at", f.at}, {"for_s", f.for_s}, {"what", f.text}});
+  for (const InjectedFault& f : faults) {
+    out["faults"].push_back({{"at", f.start_s}, {"for_s", f.duration_s}, {"what", f.description}});
   }
   return out.dump(2);
 }
@@ -582,22 +582,23 @@
   std::snprintf(line, sizeof line, "%-22s %8s %8s %9s  %s\n", "rule", "checked", "broken", "of limit",
                 "worst");
   add();
-  for (const RuleVerdict& each : rules) {
+  for (const RuleResult& each : rules) {
     std::snprintf(line, sizeof line, "%-22s %8llu %8llu %8.0f%%  %s\n", each.name.c_str(),
-                  static_cast<unsigned long long>(each.checked), static_cast<unsigned long long>(each.broken),
-                  each.worst * 100, each.worst_text.c_str());
+                  static_cast<unsigned long long>(each.checked),
+                  static_cast<unsigned long long>(each.violations), each.worst_ratio * 100,
+                  each.worst_detail.c_str());
     add();
     for (const std::string& example : each.examples) out += "    broken: " + example + "\n";
   }
-  for (const std::string& example : left_examples) out += "left behind: " + example + "\n";
+  for (const std::string& example : left_behind_examples) out += "left behind: " + example + "\n";
   std::snprintf(line, sizeof line, "\n%-14s %8s %8s %8s %8s %8s %8s %8s %8s %8s\n", "class", "offered",
                 "tries", "stood", "refused", "failed", "hung up", "conn lost", "cut", "in time");
   add();
   for (const auto& [name, c] : classes) {
     const auto n = [](std::uint64_t v) { return static_cast<unsigned long long>(v); };
     std::snprintf(line, sizeof line, "%-14s %8llu %8llu %8llu %8llu %8llu %8llu %8llu %8llu %7.1f%%\n",
-                  name.c_str(), n(c.offered), n(c.tries), n(c.stood), n(c.refused), n(c.failed),
-                  n(c.abandoned), n(c.connection), n(c.cut), c.served * 100);
+                  name.c_str(), n(c.offered), n(c.tries), n(c.established), n(c.refused), n(c.failed),
+                  n(c.abandoned), n(c.connection_lost), n(c.cut), c.served_share * 100);
     add();
   }
   std::snprintf(
@@ -608,20 +609,20 @@
       static_cast<unsigned long long>(tries), static_cast<unsigned long long>(attempts),
       static_cast<unsigned long long>(unaccounted), static_cast<unsigned long long>(left_behind),
       static_cast<unsigned long long>(orphaned), static_cast<unsigned long long>(orphans_released),
-      orphan_p50, orphan_longest, delay_p50 * 1000, delay_p99 * 1000);
+      orphan_hold_p50_s, orphan_hold_max_s, delay_p50_s * 1000, delay_p99_s * 1000);
   add();
-  for (const double each : service) {
+  for (const double each : served_share_per_window) {
     std::snprintf(line, sizeof line, " %.2f", each);
     add();
   }
-  return out + "\n" + (good() ? "all rules kept, every call accounted for\n" : "NOT GOOD\n");
+  return out + "\n" + (passed() ? "all rules kept, every call accounted for\n" : "NOT GOOD\n");
 }
 
 CheckReport check_traces(const Scenario& scenario, std::vector<v1::Record> records, double slack_s) {
   std::stable_sort(records.begin(), records.end(),
                    [](const auto& a, const auto& b) { return a.time() < b.time(); });
   Checker checker(scenario, slack_s);
-  for (const v1::Record& record : records) checker.take(record);
+  for (const v1::Record& record : records) checker.add_record(record);
   return checker.finish();
 }
 
--- a/src/lab/live.cpp
+++ b/src/lab/live.cpp
@@ -28,16 +28,16 @@
 std::string progress_line(const Scenario& scenario, double at, const Checker::Progress& before,
                           const Checker::Progress& now) {
   char text[160];
-  const std::uint64_t stood = now.stood - before.stood;
-  const std::uint64_t answered = stood + now.other - before.other;
+  const std::uint64_t stood = now.established - before.established;
+  const std::uint64_t answered = stood + now.unsuccessful - before.unsuccessful;
   std::snprintf(text, sizeof text, "%4.0f s  %7llu calls  %5.1f%% stand  ", at,
                 static_cast<unsigned long long>(now.tries),
                 answered > 0 ? 100.0 * static_cast<double>(stood) / static_cast<double>(answered) : 100.0);
   std::string out = text;
-  for (const RuleVerdict& rule : now.rules) {
-    std::snprintf(text, sizeof text, "%s %.0f%% ", short_name(rule.name), rule.worst * 100);
+  for (const RuleResult& rule : now.rules) {
+    std::snprintf(text, sizeof text, "%s %.0f%% ", short_name(rule.name), rule.worst_ratio * 100);
     out += text;
-    if (rule.broken > 0) out += "BROKEN " + std::to_string(rule.broken) + " ";
+    if (rule.violations > 0) out += "BROKEN " + std::to_string(rule.violations) + " ";
   }
   std::string faults;
   for (const Event& event : scenario.events) {
@@ -66,7 +66,7 @@
   next_ += terminal_ ? kOnTerminal : kElsewhere;
   try {
     for (TraceTail& tail : tails_) {
-      std::vector<v1::Record> part = tail.next();
+      std::vector<v1::Record> part = tail.read_new();
       std::move(part.begin(), part.end(), std::back_inserter(waiting_));
     }
   } catch (const std::exception& error) {
@@ -77,7 +77,7 @@
   std::stable_sort(waiting_.begin(), waiting_.end(),
                    [](const auto& a, const auto& b) { return a.time() < b.time(); });
   auto at = waiting_.begin();
-  for (; at != waiting_.end() && at->time() < now - kBehind; ++at) checker_.take(*at);
+  for (; at != waiting_.end() && at->time() < now - kBehind; ++at) checker_.add_record(*at);
   waiting_.erase(waiting_.begin(), at);
   const Checker::Progress progress = checker_.progress();
   const std::string line = progress_line(scenario_, now - epoch_, before_, progress);
--- a/src/lab/main.cpp
+++ b/src/lab/main.cpp
@@ -95,7 +95,7 @@
     std::fputs(out.table().c_str(), stdout);
     if (!report.empty()) std::ofstream(report) << out.json() << "\n";
     if (!plots.empty()) lab::write_plots(out, plots);
-    status = out.good() ? 0 : 1;
+    status = out.passed() ? 0 : 1;
   });
 
   std::string day, into;
@@ -117,10 +117,10 @@
 lab::MutateOptions mutations;
 CLI::App* mutate = app.add_subcommand("mutate", "takes guards out of a copy of the source, one at a time");
 mutate->add_option("list", mutations.list_file, "the mutations, a YAML file")->required();
-mutate->add_option("--source", mutations.source, "the source folder");
-mutate->add_option("--build", mutations.build, "a folder for the copy and its build")->required();
-mutate->add_option("--only", mutations.only, "those whose name has this in it");
-mutate->add_option("--report", mutations.report, "write the table there, as JSON");
+mutate->add_option("--source", mutations.source_dir, "the source folder");
+mutate->add_option("--build", mutations.build_dir, "a folder for the copy and its build")->required();
+mutate->add_option("--only", mutations.name_filter, "those whose name has this in it");
+mutate->add_option("--report", mutations.report_file, "write the table there, as JSON");
 mutate->callback([&] { status = lab::run_mutations(mutations); });
 
 lab::BenchOptions bench;
@@ -129,9 +129,9 @@
 measure->add_option("--seconds", bench.seconds, "of each measurement")->check(CLI::Range(0.1, 600.0));
 measure->add_option("--rounds", bench.rounds, "of all measurements, in turns")->check(CLI::Range(1, 1000));
 measure->add_option("--outstanding", bench.outstanding, "calls at once")->check(CLI::Range(1, 100000));
-measure->add_option("--rate", bench.rate, "calls a second of the paired measurement of delays")
+measure->add_option("--rate", bench.paired_rate, "calls a second of the paired measurement of delays")
     ->check(CLI::Range(0.0, 1e6));
-measure->add_option("--report", bench.report, "write the figures there, as JSON");
+measure->add_option("--report", bench.report_file, "write the figures there, as JSON");
 measure->callback([&] {
   if (bench.edge_program.empty()) bench.edge_program = beside("mintrock-edge");
   status = lab::run_bench(bench);
@@ -144,7 +144,7 @@
 restart->add_option("--burst", bench.outstanding, "calls at once")->check(CLI::Range(1, 100000));
 restart->callback([&] {
   if (bench.edge_program.empty()) bench.edge_program = beside("mintrock-edge");
-  status = lab::run_restart(bench);
+  status = lab::run_restart_bench(bench);
 });
 lab::soak::add_command(app, beside("mintrock-edge"), status);
 
--- a/src/lab/mutate.cpp
+++ b/src/lab/mutate.cpp
@@ -52,20 +52,20 @@
 class Bench {
  public:
   explicit Bench(const MutateOptions& options)
-      : options_(options), source_(fs::path(options.build) / "source") {
-    fs::create_directories(options_.build);
-    const fs::path from = fs::absolute(options.source);
+      : options_(options), source_(fs::path(options.build_dir) / "source") {
+    fs::create_directories(options_.build_dir);
+    const fs::path from = fs::absolute(options.source_dir);
     for (const char* part : {"CMakeLists.txt", "README.md", "LICENSE", "cmake", "include", "src", "proto",
                              "tests", "benchmarks", "scenarios", "docs"}) {
       update(from / part, source_ / part);
     }
-    must({"cmake", "-G", "Ninja", "-S", source_.string(), "-B", (fs::path(options_.build) / "out").string(),
-          "-DMINTROCK_PROGRAMS=ON", "-DMINTROCK_BUILD_TESTS=ON", "-DCMAKE_BUILD_TYPE=Debug",
-          "-DCMAKE_CXX_FLAGS_DEBUG=-O1"});
+    must({"cmake", "-G", "Ninja", "-S", source_.string(), "-B",
+          (fs::path(options_.build_dir) / "out").string(), "-DMINTROCK_PROGRAMS=ON",
+          "-DMINTROCK_BUILD_TESTS=ON", "-DCMAKE_BUILD_TYPE=Debug", "-DCMAKE_CXX_FLAGS_DEBUG=-O1"});
   }
 
   void build(const std::string& target) {
-    must({"cmake", "--build", (fs::path(options_.build) / "out").string(), "--target", target});
+    must({"cmake", "--build", (fs::path(options_.build_dir) / "out").string(), "--target", target});
   }
 
   // Takes the guard out, and puts it back at the end.
@@ -92,17 +92,17 @@
   };
 
   Judged judge(const Mutation& m) {
-    const fs::path out = fs::path(options_.build) / "out";
-    const fs::path log = fs::path(options_.build) / (m.name + ".log");
+    const fs::path out = fs::path(options_.build_dir) / "out";
+    const fs::path log = fs::path(options_.build_dir) / (m.name + ".log");
     if (m.scenario.empty()) {
       build(m.target);
       const int status = run({(out / "tests" / m.target).string(), "--gtest_filter=" + m.test}, log);
       return {status != 0, status != 0 ? "fails" : "passes"};
     }
     build("mintrock-edge");
-    const fs::path traces = fs::path(options_.build) / "traces";
+    const fs::path traces = fs::path(options_.build_dir) / "traces";
     fs::remove_all(traces);
-    const fs::path report = fs::path(options_.build) / "report.json";
+    const fs::path report = fs::path(options_.build_dir) / "report.json";
     fs::remove(report);
     run({fs::read_symlink("/proc/self/exe").string(), "run", (source_ / m.scenario).string(), "--edge",
          (out / "src" / "mintrock-edge").string(), "--report", report.string(), "--trace", traces.string(),
@@ -145,7 +145,7 @@
   }
 
   void must(const std::vector<std::string>& words) {
-    const fs::path log = fs::path(options_.build) / "build.log";
+    const fs::path log = fs::path(options_.build_dir) / "build.log";
     if (run(words, log) != 0) throw std::runtime_error("does not build, see " + log.string());
   }
 
@@ -168,7 +168,7 @@
     from.read("rule", m.rule);
     from.read("target", m.target);
     from.read("test", m.test);
-    from.read("holds", m.holds);
+    from.read("holds", m.expect_undetected);
     from.sections("changes", [&](config::Section& each) {
       Mutation::Change change;
       each.require("file");
@@ -202,7 +202,7 @@
 int run_mutations(const MutateOptions& options) {
   std::vector<Mutation> all;
   for (Mutation& each : load_mutations(options.list_file)) {
-    if (each.name.find(options.only) != std::string::npos) all.push_back(std::move(each));
+    if (each.name.find(options.name_filter) != std::string::npos) all.push_back(std::move(each));
   }
   if (all.empty()) throw std::runtime_error("no such mutation");
   Bench bench(options);
@@ -218,14 +218,14 @@
       const Bench::Without taken(bench, m);
       without = bench.judge(m);
     }
-    const bool fine = !whole[key].noticed && without.noticed != m.holds;
+    const bool fine = !whole[key].noticed && without.noticed != m.expect_undetected;
     good &= fine;
     std::printf("%-24s %-20s %-34s %-34s %s\n", m.name.c_str(), (m.rule.empty() ? m.test : m.rule).c_str(),
                 whole[key].what.c_str(), without.what.c_str(),
-                whole[key].noticed ? "CRIES WITHOUT CAUSE"
-                : without.noticed  ? (m.holds ? "NOTICED, AND WAS SAID TO HOLD" : "noticed")
-                : m.holds          ? "holds: others stand behind it"
-                                   : "NOT NOTICED");
+                whole[key].noticed    ? "CRIES WITHOUT CAUSE"
+                : without.noticed     ? (m.expect_undetected ? "NOTICED, AND WAS SAID TO HOLD" : "noticed")
+                : m.expect_undetected ? "holds: others stand behind it"
+                                      : "NOT NOTICED");
     std::fflush(stdout);
     report.push_back({{"name", m.name},
                       {"guards", m.guards},
@@ -235,7 +235,7 @@
                       {"noticed", without.noticed},
                       {"as_expected", fine}});
   }
-  if (!options.report.empty()) write_file(options.report, report.dump(2) + "\n");
+  if (!options.report_file.empty()) write_file(options.report_file, report.dump(2) + "\n");
   std::printf("%s\n", good ? "every guard is seen to work" : "NOT GOOD");
   return good ? 0 : 1;
 }
--- a/src/lab/mutate.hpp
+++ b/src/lab/mutate.hpp
@@ -22,7 +22,8 @@
   std::string rule;      // as the checker names it; "left behind" for calls that a core server keeps
   std::string target;    // else: a test program, and
   std::string test;      // the filter of its tests, one of which must fail
-  bool holds = false;    // others behind it hold: nothing is expected to notice, and that is to be seen
+  bool expect_undetected =
+      false;  // others behind it hold: nothing is expected to notice, and that is to be seen
 };
 
 // Reads the list; throws config::Error with one line.
@@ -33,10 +34,10 @@
 
 struct MutateOptions {
   std::string list_file;
-  std::string source = ".";
-  std::string build;  // of the copy; kept for the next time
-  std::string only;   // a part of the names; empty: all
-  std::string report;
+  std::string source_dir = ".";
+  std::string build_dir;    // of the copy; kept for the next time
+  std::string name_filter;  // a part of the names; empty: all
+  std::string report_file;
 };
 // Prints a table of guard against rule and margin. 0 only if each was noticed, and nothing cries without one.
 int run_mutations(const MutateOptions& options);
--- a/src/lab/plot.cpp
+++ b/src/lab/plot.cpp
@@ -30,8 +30,8 @@
 
 std::set<std::string> classes_of(const CheckReport& report) {
   std::set<std::string> out;
-  for (const SecondOfRun& each : report.seconds) {
-    for (const auto& [name, share] : each.served) out.insert(name);
+  for (const SecondSummary& each : report.seconds) {
+    for (const auto& [name, share] : each.served_share) out.insert(name);
   }
   return out;
 }
@@ -43,14 +43,14 @@
   std::string out = "# second tries stood refused failed unanswered p50_ms p99_ms";
   for (const std::string& each : classes) out += " " + quoted(each);
   out += "\n";
-  for (const SecondOfRun& s : report.seconds) {
-    out += figure(s.at);
-    for (const std::uint64_t n : {s.tries, s.stood, s.refused, s.failed, s.unanswered})
+  for (const SecondSummary& s : report.seconds) {
+    out += figure(s.start_s);
+    for (const std::uint64_t n : {s.tries, s.established, s.refused, s.failed, s.unanswered})
       out += " " + std::to_string(n);
-    out += " " + figure(s.delay_p50 * 1000) + " " + figure(s.delay_p99 * 1000);
+    out += " " + figure(s.delay_p50_s * 1000) + " " + figure(s.delay_p99_s * 1000);
     for (const std::string& each : classes) {
-      const auto at = s.served.find(each);
-      out += " " + (at == s.served.end() ? std::string("NaN") : figure(at->second));
+      const auto at = s.served_share.find(each);
+      out += " " + (at == s.served_share.end() ? std::string("NaN") : figure(at->second));
     }
     out += "\n";
   }
@@ -61,20 +61,20 @@
   std::string out =
       "set terminal svg size 1100,420 noenhanced background rgb 'white'\n"
       "set grid\nset key outside right top\nset xlabel 's'\nset style data lines\n";
-  const double end = report.seconds.empty() ? 1 : report.seconds.back().at + 1;
+  const double end = report.seconds.empty() ? 1 : report.seconds.back().start_s + 1;
   out += "set xrange [0:" + figure(end) + "]\n";
   // Bands one below the other, so that troubles at one time can be told apart.
   constexpr int kRows = 8;
   int row = 0;
   int object = 0;
-  for (const FaultOfRun& f : report.faults) {
+  for (const InjectedFault& f : report.faults) {
     const double height = 1.0 / kRows;
     const double top = 1 - height * (row++ % kRows);
     const std::string at = std::to_string(++object);
-    out += "set object " + at + " rectangle from first " + figure(f.at) + ", graph " + figure(top - height) +
-           " to first " + figure(f.at + std::max(f.for_s, end / 400)) + ", graph " + figure(top) +
-           " fillcolor rgb '#e08040' fillstyle solid 0.25 noborder behind\n";
-    out += "set label " + at + " " + quoted(f.text) + " at first " + figure(f.at) + ", graph " +
+    out += "set object " + at + " rectangle from first " + figure(f.start_s) + ", graph " +
+           figure(top - height) + " to first " + figure(f.start_s + std::max(f.duration_s, end / 400)) +
+           ", graph " + figure(top) + " fillcolor rgb '#e08040' fillstyle solid 0.25 noborder behind\n";
+    out += "set label " + at + " " + quoted(f.description) + " at first " + figure(f.start_s) + ", graph " +
            figure(top - height / 2) + " font ',8' textcolor rgb '#804010' front\n";
   }
   const std::string data = "'" + folder + "/run.dat'";
--- a/src/lab/run.cpp
+++ b/src/lab/run.cpp
@@ -276,7 +276,7 @@
     std::ofstream(options.report) << report.json() << "\n";
   }
   if (!options.plots.empty()) write_plots(report, options.plots);
-  const bool good = ended_well && report.good();
+  const bool good = ended_well && report.passed();
   if (own && good) {
     fs::remove_all(dir);
   } else {
--- a/src/lab/trace.cpp
+++ b/src/lab/trace.cpp
@@ -55,7 +55,7 @@
 
 }  // namespace
 
-std::vector<v1::Record> TraceTail::next() {
+std::vector<v1::Record> TraceTail::read_new() {
   std::vector<v1::Record> out;
   std::ifstream in(path_, std::ios::binary);
   if (!in || !in.seekg(static_cast<std::streamoff>(at_ + rest_.size()))) return out;
--- a/src/lab/trace.hpp
+++ b/src/lab/trace.hpp
@@ -17,7 +17,7 @@
  public:
   // An empty path writes nothing.
   explicit TraceWriter(const std::string& path);
-  bool on() const { return out_.is_open(); }
+  bool is_open() const { return out_.is_open(); }
   void write(const v1::Record& record);
   void flush() { out_.flush(); }
 
@@ -31,7 +31,7 @@
  public:
   explicit TraceTail(std::string path) : path_(std::move(path)) {}
   // The whole records that have come since; throws as read_trace does.
-  std::vector<v1::Record> next();
+  std::vector<v1::Record> read_new();
 
  private:
   std::string path_;
--- a/tests/lab/checker_test.cpp
+++ b/tests/lab/checker_test.cpp
@@ -95,10 +95,10 @@
   std::string broken() const {
     const CheckReport report = check();
     std::string out;
-    for (const RuleVerdict& each : report.rules) {
-      if (each.broken > 0) out += (out.empty() ? "" : ", ") + each.name;
+    for (const RuleResult& each : report.rules) {
+      if (each.violations > 0) out += (out.empty() ? "" : ", ") + each.name;
     }
-    EXPECT_EQ(report.good(), out.empty() && report.left_behind == 0);
+    EXPECT_EQ(report.passed(), out.empty() && report.left_behind == 0);
     return out;
   }
 };
@@ -109,12 +109,12 @@
   s.good_call("dock-0;2;1", 12);
   EXPECT_EQ(s.broken(), "");
   const CheckReport report = s.check();
-  EXPECT_TRUE(report.good());
-  EXPECT_EQ(report.classes.at("a").stood, 2u);
-  EXPECT_EQ(report.classes.at("a").served, 1.0);
+  EXPECT_TRUE(report.passed());
+  EXPECT_EQ(report.classes.at("a").established, 2u);
+  EXPECT_EQ(report.classes.at("a").served_share, 1.0);
 }
 
-TEST(Checker, NothingAtAllIsNotGood) { EXPECT_FALSE(Story().check().good()); }
+TEST(Checker, NothingAtAllIsNotGood) { EXPECT_FALSE(Story().check().passed()); }
 
 TEST(Checker, ACallWithoutAnswerIsCaught) {
   Story s;
@@ -196,7 +196,7 @@
   s.note(9, core_name(0), {{"event", "start"}, {"cold", true}, {"capacity", 20.0}});
   for (int i = 0; i < 25; ++i) s.good_call("dock-0;" + std::to_string(i) + ";1", 9.1 + i * 0.01);
   EXPECT_EQ(s.broken(), "");
-  EXPECT_GT(s.check().rules[3].worst, 0.9);
+  EXPECT_GT(s.check().rules[3].worst_ratio, 0.9);
   for (int i = 25; i < 30; ++i) s.good_call("dock-0;" + std::to_string(i) + ";1", 9.1 + i * 0.01);
   EXPECT_EQ(s.broken(), "cold not pushed over");
 }
@@ -248,7 +248,7 @@
   s.records.pop_back();  // its end never reached the core server
   const CheckReport report = s.check();
   EXPECT_EQ(report.left_behind, 1u);
-  EXPECT_FALSE(report.good());
+  EXPECT_FALSE(report.passed());
 }
 
 TEST(Trace, IsReadBackAndACutEndIsLeftOut) {
--- a/tests/lab/live_test.cpp
+++ b/tests/lab/live_test.cpp
@@ -24,10 +24,10 @@
   surge.factor = 1.5;
   s.events = {swallow, surge};
   Checker::Progress before, now;
-  before.stood = 50;
+  before.established = 50;
   now.tries = 200;
-  now.stood = 80;
-  now.other = 10;
+  now.established = 80;
+  now.unsuccessful = 10;
   now.rules = {{"one answer", 1, 0, {}, 0.5, ""}, {"drains kept", 1, 3, {}, 1.2, ""}};
   EXPECT_EQ(progress_line(s, 12, before, now),
             "  12 s      200 calls   75.0% stand  answer 50% drain 120% BROKEN 3 | swallow 2");
@@ -67,17 +67,17 @@
   record.set_text(std::string(100, 'x'));
   for (int i = 0; i < 3; ++i) writer.write(record);
   writer.flush();
-  EXPECT_EQ(tail.next().size(), 3u);
-  EXPECT_TRUE(tail.next().empty());
+  EXPECT_EQ(tail.read_new().size(), 3u);
+  EXPECT_TRUE(tail.read_new().empty());
   {  // half a record, then its rest
     std::ofstream out(path, std::ios::binary | std::ios::app);
     std::string bytes;
     record.SerializeToString(&bytes);
     out << static_cast<char>(bytes.size()) << bytes.substr(0, 10) << std::flush;
-    EXPECT_TRUE(tail.next().empty());
+    EXPECT_TRUE(tail.read_new().empty());
     out << bytes.substr(10) << std::flush;
   }
-  EXPECT_EQ(tail.next().size(), 1u);
+  EXPECT_EQ(tail.read_new().size(), 1u);
   std::remove(path.c_str());
 }
 
--- a/tests/lab/mutate_test.cpp
+++ b/tests/lab/mutate_test.cpp
@@ -25,7 +25,7 @@
   std::set<std::string> names, rules;
   for (const Mutation& m : all) {
     EXPECT_TRUE(names.insert(m.name).second) << m.name << " stands twice";
-    if (!m.rule.empty() && !m.holds) rules.insert(m.rule);
+    if (!m.rule.empty() && !m.expect_undetected) rules.insert(m.rule);
     if (!m.scenario.empty()) {
       EXPECT_TRUE(std::ifstream(root + "/" + m.scenario)) << m.scenario;
     }
