--- a/src/lab/checker.cpp
+++ b/src/lab/checker.cpp
@@ -21,9 +21,9 @@
 using nlohmann::json;
 
 constexpr double kNever = std::numeric_limits<double>::infinity();
-constexpr double kStampSlack = 0.02;  // s; the usual one, within the grace of a drain already
-constexpr double kWindow = 5;         // s of the service's windows
-constexpr std::size_t kExamples = 5;
+constexpr double kDefaultSlack = 0.02;  // s; the default slack, which the drain grace already includes
+constexpr double kServiceWindow = 5;    // s per window of served_share_per_window
+constexpr std::size_t kMaxExamples = 5;
 
 struct Try {
   std::string session;
@@ -33,9 +33,9 @@
   int answers = 0;
   double answered = kNever;
   std::uint32_t result = 0;
-  double ended = kNever;  // the caller's CCR TERMINATION
+  double ended = kNever;  // when the caller sent CCR TERMINATION
   double cut = kNever;
-  double closed = kNever;  // its connection, before the answer
+  double closed = kNever;  // when the connection closed before the answer
 };
 
 struct Attempt {
@@ -46,12 +46,12 @@
   double answered = kNever;
   std::uint32_t result = 0;
   double released = kNever;
-  double closed = kNever;  // its connection, or the process, before an answer
-  double gone = kNever;    // the process ended, or the server cut it, after an answer
-  double over() const { return std::min({answered, released, closed}); }
+  double closed = kNever;        // when the connection closed before an answer
+  double session_lost = kNever;  // when the process ended or the server cut the call
+  double ended() const { return std::min({answered, released, closed}); }
 };
 
-struct Told {
+struct ListNotice {
   double at = 0;
   bool ready = false;
 };
@@ -68,8 +68,8 @@
   }
 
   CheckReport finish() {
-    for (auto& [session, each] : tries_) judge_try(each);
-    count();
+    for (auto& [session, each] : tries_) check_answers(each);
+    summarize();
     report_.rules = rules_;
     return report_;
   }
@@ -77,41 +77,41 @@
   Progress progress() const {
     Progress out;
     out.tries = tries_.size();
-    out.established = stood_;
-    out.unsuccessful = other_;
+    out.established = established_;
+    out.unsuccessful = unsuccessful_;
     out.rules = rules_;
     return out;
   }
 
-  void take(const v1::Record& record) {
+  void add_record(const v1::Record& record) {
     switch (record.kind()) {
       case v1::Record::FRAME:
-        return frame(record);
+        return on_frame(record);
       case v1::Record::LIST:
-        return list(record);
+        return on_list(record);
       case v1::Record::NOTE:
-        return note(record);
+        return on_note(record);
       case v1::Record::CLOSED:
-        return closed(record);
+        return on_closed(record);
       default:
         return;
     }
   }
 
  private:
-  enum Rule { kAnswer, kOne, kDrain, kCold, kRelease };
+  enum Rule { kOneAnswer, kOneAttempt, kDrainsKept, kColdBudget, kReleaseAwaited };
 
-  void broke(Rule rule, const std::string& what) {
-    RuleResult& verdict = rules_[rule];
-    verdict.violations += 1;
-    if (verdict.examples.size() < kExamples) verdict.examples.push_back(what);
+  void record_violation(Rule rule, const std::string& what) {
+    RuleResult& result = rules_[rule];
+    result.violations += 1;
+    if (result.examples.size() < kMaxExamples) result.examples.push_back(what);
   }
-  void margin(Rule rule, double of_limit, const std::string& what) {
-    RuleResult& verdict = rules_[rule];
-    verdict.checked += 1;
-    if (of_limit > verdict.worst_ratio || verdict.worst_detail.empty()) {
-      verdict.worst_ratio = of_limit;
-      verdict.worst_detail = what;
+  void record_margin(Rule rule, double of_limit, const std::string& what) {
+    RuleResult& result = rules_[rule];
+    result.checked += 1;
+    if (of_limit > result.worst_ratio || result.worst_detail.empty()) {
+      result.worst_ratio = of_limit;
+      result.worst_detail = what;
     }
   }
 
@@ -124,15 +124,16 @@
   static bool is_caller(const std::string& who) { return who.rfind("dock-", 0) == 0; }
   static bool is_core(const std::string& who) { return who.rfind("core-", 0) == 0; }
 
-  void frame(const v1::Record& record) {
+  void on_frame(const v1::Record& record) {
     diameter::MessageView view;
     if (diameter::decode(record.frame(), view)) return;
     const std::string session = edge::session_of(view);
-    if (is_caller(record.who())) return caller_frame(record, view, session);
-    if (is_core(record.who())) return core_frame(record, view, session);
+    if (is_caller(record.who())) return on_caller_frame(record, view, session);
+    if (is_core(record.who())) return on_core_frame(record, view, session);
   }
 
-  void caller_frame(const v1::Record& record, const diameter::MessageView& view, const std::string& session) {
+  void on_caller_frame(const v1::Record& record, const diameter::MessageView& view,
+                       const std::string& session) {
     const bool request = view.header.request();
     if (view.header.command == diameter::kAbortSession && request && !record.outgoing()) {
       const auto found = tries_.find(session);
@@ -148,7 +149,7 @@
       each.sent = record.time();
       const auto* service = view.find(avp::kServiceIdentifier.code);
       each.service = service != nullptr ? diameter::as_u32(*service).value_or(0) : 0;
-      open_[record.connection()].insert(session);
+      unanswered_[record.connection()].insert(session);
     } else if (record.outgoing() && request && type == diameter::kTermination) {
       const auto found = tries_.find(session);
       if (found != tries_.end()) found->second.ended = std::min(found->second.ended, record.time());
@@ -161,16 +162,17 @@
       each.answered = record.time();
       const auto* result = view.find(avp::kResultCode.code);
       each.result = result != nullptr ? diameter::as_u32(*result).value_or(0) : 0;
-      open_[record.connection()].erase(session);
-      (each.result / 1000 == 2 ? stood_ : other_) += 1;
-      judge_delay(each);
+      unanswered_[record.connection()].erase(session);
+      (each.result / 1000 == 2 ? established_ : unsuccessful_) += 1;
+      check_answer_delay(each);
     }
   }
 
-  void core_frame(const v1::Record& record, const diameter::MessageView& view, const std::string& session) {
+  void on_core_frame(const v1::Record& record, const diameter::MessageView& view,
+                     const std::string& session) {
     const bool request = view.header.request();
     if (view.header.command == diameter::kAbortSession && request && record.outgoing()) {
-      if (Attempt* last = latest(session, record.who())) last->gone = record.time();
+      if (Attempt* last = latest_attempt(session, record.who())) last->session_lost = record.time();
       return;
     }
     if (view.header.command != diameter::kCreditControl) return;
@@ -182,17 +184,17 @@
       attempt.connection = record.connection();
       attempt.arrived = record.time();
       std::vector<Attempt>& attempts = attempts_[session];
-      if (!attempts.empty()) judge_pair(session, attempts.back(), attempt);
+      if (!attempts.empty()) check_attempt_pair(session, attempts.back(), attempt);
       attempts.push_back(attempt);
       report_.attempts += 1;
-      on_line_[{record.who(), record.connection()}].insert(session);
-      judge_drain(attempt, session);
-      judge_cold(attempt);
+      sessions_by_connection_[{record.who(), record.connection()}].insert(session);
+      check_drain(attempt, session);
+      check_cold_budget(attempt);
     } else if (!record.outgoing() && request && type == diameter::kTermination) {
-      if (Attempt* last = latest(session, record.who()))
+      if (Attempt* last = latest_attempt(session, record.who()))
         last->released = std::min(last->released, record.time());
     } else if (record.outgoing() && !request && type == diameter::kInitial) {
-      Attempt* last = latest(session, record.who());
+      Attempt* last = latest_attempt(session, record.who());
       if (last == nullptr || last->answered < kNever) return;
       last->answered = record.time();
       const auto* result = view.find(avp::kResultCode.code);
@@ -200,7 +202,7 @@
     }
   }
 
-  Attempt* latest(const std::string& session, const std::string& core) {
+  Attempt* latest_attempt(const std::string& session, const std::string& core) {
     const auto found = attempts_.find(session);
     if (found == attempts_.end()) return nullptr;
     for (auto at = found->second.rbegin(); at != found->second.rend(); ++at) {
@@ -209,28 +211,28 @@
     return nullptr;
   }
 
-  void closed(const v1::Record& record) {
+  void on_closed(const v1::Record& record) {
     if (is_caller(record.who())) {
-      for (const std::string& session : open_[record.connection()]) {
+      for (const std::string& session : unanswered_[record.connection()]) {
         Try& each = tries_.at(session);
         each.closed = std::min(each.closed, record.time());
       }
-      open_.erase(record.connection());
+      unanswered_.erase(record.connection());
     } else if (is_core(record.who())) {
-      const auto found = on_line_.find({record.who(), record.connection()});
-      if (found == on_line_.end()) return;
+      const auto found = sessions_by_connection_.find({record.who(), record.connection()});
+      if (found == sessions_by_connection_.end()) return;
       for (const std::string& session : found->second) {
         for (Attempt& each : attempts_.at(session)) {
           if (each.core != record.who() || each.connection != record.connection()) continue;
-          // What was given up before has ended by its release.
-          if (each.over() == kNever) each.closed = record.time();
+          // An attempt that was given up has already ended with its release.
+          if (each.ended() == kNever) each.closed = record.time();
         }
       }
-      on_line_.erase(found);
+      sessions_by_connection_.erase(found);
     }
   }
 
-  void list(const v1::Record& record) {
+  void on_list(const v1::Record& record) {
     list::News news;
     try {
       news = list::parse_news(record.text());
@@ -238,15 +240,15 @@
       return;
     }
     for (const list::Entry& entry : news.entries) {
-      Told& told = told_[{record.with(), entry.identity}];
+      ListNotice& notice = list_notices_[{record.with(), entry.identity}];
       const bool ready = entry.state == ServerEntry::State::kReady;
-      if (told.at > 0 && !ready && !told.ready) continue;  // told already; the first time counts
-      told = {record.time(), ready};
-      if (!ready) margin(kDrain, 0, "no set-up after any notice");
+      if (notice.at > 0 && !ready && !notice.ready) continue;  // a repeated notice; the first one counts
+      notice = {record.time(), ready};
+      if (!ready) record_margin(kDrainsKept, 0, "no set-up after any drain notice");
     }
   }
 
-  void note(const v1::Record& record) {
+  void on_note(const v1::Record& record) {
     const json text = json::parse(record.text(), nullptr, false);
     if (!text.is_object()) return;
     const std::string event = text.value("event", "");
@@ -257,120 +259,125 @@
                                 kind + " " + record.who().substr(0, record.who().find('.'))});
     }
     if (event == "proxy_started") {
-      // A new process has been told nothing yet.
-      for (auto at = told_.begin(); at != told_.end();) {
-        at = at->first.first == record.who() ? told_.erase(at) : std::next(at);
+      // The new process has not received the server list yet.
+      for (auto at = list_notices_.begin(); at != list_notices_.end();) {
+        at = at->first.first == record.who() ? list_notices_.erase(at) : std::next(at);
       }
     }
     if (event == "start" && text.value("cold", false)) {
       const Warmth warmth{scenario_.rules.start_capacity, scenario_.rules.warm_up_s, record.time()};
-      cold_.insert_or_assign(record.who(),
-                             ColdBudget(warmth, text.value("capacity", 1.0), scenario_.rules.overload_factor,
-                                        scenario_.rules.fall_s));
+      cold_budgets_.insert_or_assign(
+          record.who(), ColdBudget(warmth, text.value("capacity", 1.0), scenario_.rules.overload_factor,
+                                   scenario_.rules.fall_s));
     }
     if (event == "end_given_up") report_.ends_given_up += 1;
-    if (event == "fell_over") broke(kCold, record.who() + " fell over");
+    if (event == "fell_over") record_violation(kColdBudget, record.who() + " fell over");
     if (event == "die" || event == "stop") {
       for (auto& [session, attempts] : attempts_) {
         for (Attempt& each : attempts) {
-          if (each.core == record.who()) each.gone = std::min(each.gone, record.time());
+          if (each.core == record.who()) each.session_lost = std::min(each.session_lost, record.time());
         }
       }
     }
   }
 
-  void judge_drain(const Attempt& attempt, const std::string& session) {
-    const auto told = told_.find({attempt.proxy, attempt.core});
-    if (told == told_.end() || told->second.ready) return;
-    const double after = attempt.arrived - told->second.at;
-    margin(kDrain, after / scenario_.drain_grace_s,
-           "set-up " + ms(after) + " after " + attempt.proxy + " was told of " + attempt.core);
-    if (after > scenario_.drain_grace_s + std::max(0.0, slack_ - kStampSlack)) {
-      broke(kDrain,
-            session + " sent to " + attempt.core + " " + ms(after) + " after " + attempt.proxy + " was told");
+  void check_drain(const Attempt& attempt, const std::string& session) {
+    const auto notice = list_notices_.find({attempt.proxy, attempt.core});
+    if (notice == list_notices_.end() || notice->second.ready) return;
+    const double after = attempt.arrived - notice->second.at;
+    record_margin(kDrainsKept, after / scenario_.drain_grace_s,
+                  "set-up " + ms(after) + " after " + attempt.proxy + " was notified of " + attempt.core);
+    if (after > scenario_.drain_grace_s + std::max(0.0, slack_ - kDefaultSlack)) {
+      record_violation(kDrainsKept, session + " sent to " + attempt.core + " " + ms(after) + " after " +
+                                        attempt.proxy + " was notified");
     }
   }
 
-  void judge_cold(const Attempt& attempt) {
-    const auto found = cold_.find(attempt.core);
-    if (found == cold_.end()) return;
+  void check_cold_budget(const Attempt& attempt) {
+    const auto found = cold_budgets_.find(attempt.core);
+    if (found == cold_budgets_.end()) return;
     const double load = found->second.arrived(attempt.arrived);
     if (load == 0) return;  // warm
     char text[80];
     std::snprintf(text, sizeof text, "%s at %.0f%% of its budget", attempt.core.c_str(), load * 100);
-    margin(kCold, load, text);
-    if (load > 1) broke(kCold, text);
+    record_margin(kColdBudget, load, text);
+    if (load > 1) record_violation(kColdBudget, text);
   }
 
-  // Judged as the next one arrives: what has passed by then is all that counts.
-  void judge_pair(const std::string& session, const Attempt& one, const Attempt& next) {
-    const double gap = next.arrived - one.over();
-    margin(kOne, gap < 0 ? 2 : 0, "next attempt " + ms(gap) + " after the one before");
+  // Runs when the next attempt arrives; only events up to then are considered.
+  void check_attempt_pair(const std::string& session, const Attempt& previous, const Attempt& next) {
+    const double gap = next.arrived - previous.ended();
+    record_margin(kOneAttempt, gap < 0 ? 2 : 0, "next attempt " + ms(gap) + " after the previous one");
     if (gap < 0) {
-      broke(kOne, session + " at " + next.core + " while out at " + one.core);
+      record_violation(kOneAttempt, session + " at " + next.core + " while in flight at " + previous.core);
       return;
     }
-    // In doubt: ended by a release or by the connection, not by an answer that stayed the last word.
-    double doubt = -kNever;
-    if (one.released < kNever && one.released <= next.arrived) doubt = one.released;
-    if (one.closed < kNever) doubt = std::max(doubt, one.closed);
-    if (doubt == -kNever) return;
-    const double waited = next.arrived - doubt;
+    // The outcome is unknown if the attempt ended with a release or a closed connection instead of an answer.
+    double unconfirmed_since = -kNever;
+    if (previous.released < kNever && previous.released <= next.arrived)
+      unconfirmed_since = previous.released;
+    if (previous.closed < kNever) unconfirmed_since = std::max(unconfirmed_since, previous.closed);
+    if (unconfirmed_since == -kNever) return;
+    const double waited = next.arrived - unconfirmed_since;
     const double wait = scenario_.rules.release_wait_s;
-    margin(kRelease, waited > 0 ? wait / waited : 2,
-           "next set-up " + ms(waited) + " after an attempt in doubt");
-    if (waited < wait - slack_) broke(kRelease, session + " sent again after " + ms(waited));
+    record_margin(kReleaseAwaited, waited > 0 ? wait / waited : 2,
+                  "next set-up " + ms(waited) + " after an attempt with unknown outcome");
+    if (waited < wait - slack_)
+      record_violation(kReleaseAwaited, session + " sent again after " + ms(waited));
   }
 
-  void judge_delay(const Try& each) {
+  void check_answer_delay(const Try& each) {
     const double delay = each.answered - each.sent;
-    margin(kAnswer, delay / (scenario_.patience_s + slack_), each.session + " answered after " + ms(delay));
-    if (delay > scenario_.patience_s + slack_) broke(kAnswer, each.session + " answered after " + ms(delay));
+    record_margin(kOneAnswer, delay / (scenario_.patience_s + slack_),
+                  each.session + " answered after " + ms(delay));
+    if (delay > scenario_.patience_s + slack_)
+      record_violation(kOneAnswer, each.session + " answered after " + ms(delay));
   }
 
-  void judge_try(const Try& each) {
+  void check_answers(const Try& each) {
     const auto found = attempts_.find(each.session);
     if (found != attempts_.end() && each.answers > 0 && each.result / 1000 != 2) {
       const double last = found->second.back().arrived;
       if (last > each.answered + slack_) {
-        broke(kAnswer, each.session + " sent on " + ms(last - each.answered) + " after its final answer");
+        record_violation(kOneAnswer,
+                         each.session + " forwarded " + ms(last - each.answered) + " after its final answer");
       }
     }
     if (each.answers > 1)
-      broke(kAnswer, each.session + " answered " + std::to_string(each.answers) + " times");
-    // A connection that closes after the caller's patience excuses nothing.
+      record_violation(kOneAnswer, each.session + " answered " + std::to_string(each.answers) + " times");
+    // A connection that closes after the caller's patience has run out does not excuse a missing answer.
     if (each.answers == 0 && each.closed > each.sent + scenario_.patience_s + slack_) {
-      broke(kAnswer, each.session + " never answered");
+      record_violation(kOneAnswer, each.session + " never answered");
       report_.unaccounted += 1;
     }
   }
 
-  static std::string wish_of(const std::string& session) { return session.substr(0, session.rfind(';')); }
+  static std::string call_of(const std::string& session) { return session.substr(0, session.rfind(';')); }
 
-  void count() {
+  void summarize() {
     std::map<std::uint32_t, const Scenario::Class*> classes;
     for (const auto& each : scenario_.classes) classes[each.service_identifier] = &each;
-    struct Wish {
+    struct Call {
       double first = kNever;
       std::uint32_t service = 0;
       bool served = false;
     };
-    std::map<std::string, Wish> wishes;
+    std::map<std::string, Call> calls;
     std::vector<double> delays;
     for (const auto& [session, each] : tries_) {
-      Wish& wish = wishes[wish_of(session)];
-      wish.first = std::min(wish.first, each.sent);
-      wish.service = each.service;
+      Call& call = calls[call_of(session)];
+      call.first = std::min(call.first, each.sent);
+      call.service = each.service;
     }
-    double begin = kNever;
-    for (const auto& [name, wish] : wishes) begin = std::min(begin, wish.first);
+    double run_start = kNever;
+    for (const auto& [name, call] : calls) run_start = std::min(run_start, call.first);
     for (const auto& [session, each] : tries_) {
       const auto known = classes.find(each.service);
       if (known == classes.end()) continue;
       ClassSummary& counts = report_.classes[known->second->name];
       counts.tries += 1;
       report_.tries += 1;
-      Wish& wish = wishes[wish_of(session)];
+      Call& call = calls[call_of(session)];
       if (each.answers == 0) {
         counts.connection_lost += each.closed < kNever;
       } else if (each.ended < each.answered) {
@@ -379,35 +386,36 @@
         counts.established += 1;
         counts.cut += each.cut < kNever;
         delays.push_back(each.answered - each.sent);
-        if (each.cut == kNever && each.answered - wish.first <= known->second->told.aim_s) wish.served = true;
+        if (each.cut == kNever && each.answered - call.first <= known->second->told.aim_s) call.served = true;
       } else if (each.result == diameter::kTooBusy) {
         counts.refused += 1;
       } else {
         counts.failed += 1;
       }
     }
-    std::vector<double> worth, served;
-    for (const auto& [name, wish] : wishes) {
-      const auto known = classes.find(wish.service);
+    std::vector<double> offered_value, served_value;
+    for (const auto& [name, call] : calls) {
+      const auto known = classes.find(call.service);
       if (known == classes.end()) continue;
       const double value = known->second->told.value;
-      const auto window = static_cast<std::size_t>((wish.first - begin) / kWindow);
-      if (worth.size() <= window) {
-        worth.resize(window + 1);
-        served.resize(window + 1);
+      const auto window = static_cast<std::size_t>((call.first - run_start) / kServiceWindow);
+      if (offered_value.size() <= window) {
+        offered_value.resize(window + 1);
+        served_value.resize(window + 1);
       }
-      worth[window] += value;
-      served[window] += wish.served ? value : 0;
+      offered_value[window] += value;
+      served_value[window] += call.served ? value : 0;
       ClassSummary& counts = report_.classes[known->second->name];
       counts.offered += 1;
-      counts.served_share += wish.served;
+      counts.served_share += call.served;
     }
     for (auto& [name, counts] : report_.classes)
       counts.served_share /= std::max<double>(1, static_cast<double>(counts.offered));
-    for (std::size_t i = 0; i < worth.size(); ++i)
-      report_.served_share_per_window.push_back(worth[i] > 0 ? served[i] / worth[i] : 1);
-    for (InjectedFault& fault : report_.faults) fault.start_s -= begin;
-    count_seconds(begin);
+    for (std::size_t i = 0; i < offered_value.size(); ++i)
+      report_.served_share_per_window.push_back(offered_value[i] > 0 ? served_value[i] / offered_value[i]
+                                                                     : 1);
+    for (InjectedFault& fault : report_.faults) fault.start_s -= run_start;
+    summarize_seconds(run_start);
     std::sort(delays.begin(), delays.end());
     if (!delays.empty()) {
       report_.delay_p50_s = delays[delays.size() / 2];
@@ -418,11 +426,11 @@
       for (const Attempt& each : attempts) {
         if (each.result / 1000 != 2) continue;
         const auto known = tries_.find(session);
-        const bool told = known != tries_.end() && known->second.answers > 0;
-        if (each.released < kNever && !told) orphans.push_back(each.released - each.answered);
-        if (each.released < kNever || each.gone < kNever) continue;
-        (told ? report_.left_behind : report_.orphaned) += 1;
-        if (told && report_.left_behind_examples.size() < kExamples) {
+        const bool caller_answered = known != tries_.end() && known->second.answers > 0;
+        if (each.released < kNever && !caller_answered) orphans.push_back(each.released - each.answered);
+        if (each.released < kNever || each.session_lost < kNever) continue;
+        (caller_answered ? report_.left_behind : report_.orphaned) += 1;
+        if (caller_answered && report_.left_behind_examples.size() < kMaxExamples) {
           report_.left_behind_examples.push_back(session + " at " + each.core + " through " + each.proxy);
         }
       }
@@ -435,85 +443,86 @@
     }
   }
 
-  // The run second by second, by the moment at which each try, or a wish's first try, was sent.
-  void count_seconds(double begin) {
+  // Summarizes the run second by second. Tries count where they were sent, calls where their first try was
+  // sent.
+  void summarize_seconds(double run_start) {
     std::map<std::uint32_t, const Scenario::Class*> classes;
     for (const auto& each : scenario_.classes) classes[each.service_identifier] = &each;
-    struct Part {
+    struct Details {
       std::vector<double> delays;
-      std::map<std::string, std::pair<double, double>> worth;  // served and offered, by class
+      std::map<std::string, std::pair<double, double>> calls;  // served and offered calls, by class
     };
-    std::vector<Part> parts;
-    std::map<std::string, std::pair<double, bool>> wishes;  // first try; served in time
-    std::map<std::string, std::string> class_of;
+    std::vector<Details> details;
+    std::map<std::string, std::pair<double, bool>> calls;  // time of the first try; served in time
+    std::map<std::string, std::string> class_of_call;
     for (const auto& [session, each] : tries_) {
-      const std::string wish = wish_of(session);
-      auto& [first, served] = wishes.try_emplace(wish, kNever, false).first->second;
+      const std::string call = call_of(session);
+      auto& [first, served] = calls.try_emplace(call, kNever, false).first->second;
       first = std::min(first, each.sent);
       const auto known = classes.find(each.service);
-      if (known != classes.end()) class_of[wish] = known->second->name;
+      if (known != classes.end()) class_of_call[call] = known->second->name;
     }
-    const auto place = [&](double time) {
-      const auto second = static_cast<std::size_t>(std::max(0.0, time - begin));
-      while (parts.size() <= second) {
-        parts.emplace_back();
+    const auto second_of = [&](double time) {
+      const auto second = static_cast<std::size_t>(std::max(0.0, time - run_start));
+      while (details.size() <= second) {
+        details.emplace_back();
         report_.seconds.push_back({static_cast<double>(report_.seconds.size()), 0, 0, 0, 0, 0, 0, 0, {}});
       }
       return second;
     };
     for (const auto& [session, each] : tries_) {
-      const std::size_t second = place(each.sent);
+      const std::size_t second = second_of(each.sent);
       SecondSummary& s = report_.seconds[second];
       s.tries += 1;
       if (each.answers == 0) {
         s.unanswered += 1;
       } else if (each.result / 1000 == 2) {
         s.established += 1;
-        parts[second].delays.push_back(each.answered - each.sent);
+        details[second].delays.push_back(each.answered - each.sent);
         const auto known = classes.find(each.service);
-        auto& [first, served] = wishes.at(wish_of(session));
+        auto& [first, served] = calls.at(call_of(session));
         served |= known != classes.end() && each.cut == kNever &&
                   each.answered - first <= known->second->told.aim_s;
       } else {
         (each.result == diameter::kTooBusy ? s.refused : s.failed) += 1;
       }
     }
-    for (const auto& [wish, state] : wishes) {
-      auto& [served, offered] = parts[place(state.first)].worth[class_of[wish]];
+    for (const auto& [call, state] : calls) {
+      auto& [served, offered] = details[second_of(state.first)].calls[class_of_call[call]];
       served += state.second ? 1 : 0;
       offered += 1;
     }
-    for (std::size_t i = 0; i < parts.size(); ++i) {
-      std::vector<double>& delays = parts[i].delays;
+    for (std::size_t i = 0; i < details.size(); ++i) {
+      std::vector<double>& delays = details[i].delays;
       std::sort(delays.begin(), delays.end());
       if (!delays.empty()) {
         report_.seconds[i].delay_p50_s = delays[delays.size() / 2];
         report_.seconds[i].delay_p99_s = delays[delays.size() * 99 / 100];
       }
-      for (const auto& [name, worth] : parts[i].worth) {
-        report_.seconds[i].served_share[name] = worth.first / worth.second;
+      for (const auto& [name, counts] : details[i].calls) {
+        report_.seconds[i].served_share[name] = counts.first / counts.second;
       }
     }
   }
 
   const Scenario& scenario_;
-  double slack_;  // s; two processes stamp one event when their loops come to it
+  double slack_;  // s; each process timestamps an event when its loop handles it
   std::vector<RuleResult> rules_;
   CheckReport report_;
-  std::uint64_t stood_ = 0;  // answers so far
-  std::uint64_t other_ = 0;
+  std::uint64_t established_ = 0;  // answers so far
+  std::uint64_t unsuccessful_ = 0;
   std::map<std::string, Try> tries_;
-  std::map<std::uint64_t, std::set<std::string>> open_;  // unanswered tries, by connection
+  std::map<std::uint64_t, std::set<std::string>> unanswered_;  // sessions, by connection
   std::map<std::string, std::vector<Attempt>> attempts_;
-  std::map<std::pair<std::string, std::uint64_t>, std::set<std::string>> on_line_;
-  std::map<std::pair<std::string, std::string>, Told> told_;  // by proxy and core server
-  std::map<std::string, ColdBudget> cold_;
+  std::map<std::pair<std::string, std::uint64_t>, std::set<std::string>> sessions_by_connection_;
+  std::map<std::pair<std::string, std::string>, ListNotice> list_notices_;  // by proxy and core server
+  std::map<std::string, ColdBudget> cold_budgets_;
 };
 
 Checker::Checker(const Scenario& scenario, double slack_s)
     : impl_(std::make_unique<Impl>(scenario, slack_s)) {}
 Checker::~Checker() = default;
-void Checker::add_record(const v1::Record& record) { impl_->take(record); }
+void Checker::add_record(const v1::Record& record) { impl_->add_record(record); }
 Checker::Progress Checker::progress() const { return impl_->progress(); }
 CheckReport Checker::finish() { return impl_->finish(); }
 
--- a/src/lab/checker.hpp
+++ b/src/lab/checker.hpp
@@ -1,7 +1,7 @@
-// The five rules, judged from traces alone: what passed on the stand-ins' sockets, never what a proxy says of
-// itself.
+// Checks the five rules from the traces of a run alone: from what passed the sockets of the simulated callers
+// and core servers, never from what a proxy reports about itself.
 //
-// Pure: records in, a report out.
+// Pure: takes records and returns a report, does no I/O and reads no clock.
 #ifndef MINTROCK_SRC_LAB_CHECKER_HPP_
 #define MINTROCK_SRC_LAB_CHECKER_HPP_
 
@@ -18,53 +18,55 @@
 
 struct RuleResult {
   std::string name;
-  std::uint64_t checked = 0;  // how many times there was something to check
+  std::uint64_t checked = 0;  // number of checks made
   std::uint64_t violations = 0;
-  std::vector<std::string> examples;  // the first few breaks
-  double worst_ratio = 0;             // how near to the limit: 1 is at it, over 1 beyond
+  std::vector<std::string> examples;  // the first few violations
+  double worst_ratio = 0;             // worst measurement relative to the limit; above 1: beyond it
   std::string worst_detail;
 };
 
 struct ClassSummary {
-  std::uint64_t offered = 0;  // callers' wishes
+  std::uint64_t offered = 0;  // calls; the redials of a call count as further tries, not as calls
   std::uint64_t tries = 0;
-  std::uint64_t established = 0;  // tries, by answer
+  std::uint64_t established = 0;  // tries, by outcome
   std::uint64_t refused = 0;
   std::uint64_t failed = 0;
   std::uint64_t abandoned = 0;        // the caller hung up before the answer
   std::uint64_t connection_lost = 0;  // the connection was lost before the answer
-  std::uint64_t cut = 0;              // stood, then cut
-  double served_share = 0;            // worth that stood within its aim and was not cut, over worth offered
+  std::uint64_t cut = 0;              // established, then cut
+  double served_share = 0;  // calls established within the target time and not cut, over calls offered
 };
 
-// What became of the tries that began within one second.
+// Outcomes of the tries that began within one second.
 struct SecondSummary {
   double start_s = 0;  // s since the first try
   std::uint64_t tries = 0, established = 0, refused = 0, failed = 0, unanswered = 0;
-  double delay_p50_s = 0, delay_p99_s = 0;     // s, of those that stood
-  std::map<std::string, double> served_share;  // by class: worth in time over worth offered, by the first try
+  double delay_p50_s = 0, delay_p99_s = 0;  // s, of established tries
+  std::map<std::string, double>
+      served_share;  // by class: calls served in time over calls offered, by their first try
 };
 struct InjectedFault {
   double start_s = 0;  // s since the first try
   double duration_s = 0;
-  std::string description;  // kind and where
+  std::string description;  // kind and place
 };
 
 struct CheckReport {
   std::vector<RuleResult> rules;
   std::map<std::string, ClassSummary> classes;
-  std::vector<double> served_share_per_window;  // a share for each 5 s, by the first try
+  std::vector<double>
+      served_share_per_window;  // value served in time over value offered, for each 5 s, by the first try
   std::uint64_t tries = 0;
-  std::uint64_t unaccounted = 0;  // tries without an end of any kind
+  std::uint64_t unaccounted = 0;  // tries that never got an answer
   std::uint64_t attempts = 0;     // set-ups that reached core servers
-  std::uint64_t left_behind = 0;  // sessions that a core server holds at the end, of callers who were told
+  std::uint64_t left_behind = 0;  // sessions still held by a core server at the end, of answered tries
   std::vector<std::string> left_behind_examples;
-  std::uint64_t orphaned = 0;          // and of callers whose proxy was gone before it could tell
-  std::uint64_t orphans_released = 0;  // of those callers, but released in the end,
-  double orphan_hold_p50_s = 0, orphan_hold_max_s = 0;  // s that a core server kept them
-  std::uint64_t ends_given_up = 0;                      // ends that a caller gave up repeating
-  double delay_p50_s = 0, delay_p99_s = 0;              // s, of those that stood
-  std::map<std::string, std::uint64_t> fault_counts;    // what went wrong, by kind
+  std::uint64_t orphaned = 0;  // sessions still held at the end, of unanswered tries: their proxy was killed
+  std::uint64_t orphans_released = 0;                   // sessions of unanswered tries that were released
+  double orphan_hold_p50_s = 0, orphan_hold_max_s = 0;  // s from answer to release
+  std::uint64_t ends_given_up = 0;                      // call ends that a caller gave up retransmitting
+  double delay_p50_s = 0, delay_p99_s = 0;              // s, of established tries
+  std::map<std::string, std::uint64_t> fault_counts;    // injected faults, by kind
   std::vector<SecondSummary> seconds;
   std::vector<InjectedFault> faults;
   bool passed() const;
@@ -72,11 +74,7 @@
   std::string table() const;
 };
 
-// `records` of all stand-ins, in any order. `slack_s` is granted to every comparison of times taken by two
-// processes (which order does not settle): 0.02 s where processes get their turn, more on a machine so busy
-// that they don't, as under sanitizers in CI, where what counts is that calls are answered once and kept
-// apart.
-// The same while a run goes on: records in the order of their times, a report at the end.
+// Checks a run while it goes on: takes records in order of time and returns the report at the end.
 class Checker {
  public:
   Checker(const Scenario& scenario, double slack_s);
@@ -88,7 +86,7 @@
     std::uint64_t tries = 0;
     std::uint64_t established = 0;
     std::uint64_t unsuccessful = 0;  // refused or failed
-    std::vector<RuleResult> rules;   // as far as can be told before the end
+    std::vector<RuleResult> rules;   // as known so far
   };
   Progress progress() const;
   CheckReport finish();
@@ -98,6 +96,10 @@
   std::unique_ptr<Impl> impl_;
 };
 
+// Checks the records of all simulated processes, in any order. `slack_s` is granted to every comparison of
+// timestamps taken by two processes, except where only the order counts: 0.02 s where the processes are
+// scheduled in time, more on a busy machine, as under sanitizers in CI, where the checks that matter are that
+// each call is answered once and that its attempts do not overlap.
 CheckReport check_traces(const Scenario& scenario, std::vector<v1::Record> records, double slack_s = 0.02);
 
 }  // namespace mintrock::lab
