--- a/src/lab/mutate.cpp
+++ b/src/lab/mutate.cpp
@@ -32,66 +32,67 @@
   if (!(out << text) || !out.flush()) throw std::runtime_error(path.string() + ": cannot be written");
 }
 
-// Runs a program with its output in a file; its exit status.
-int run(const std::vector<std::string>& words, const fs::path& output) {
-  std::vector<std::string> all = {"/bin/sh", "-c", "out=$1; shift; exec \"$@\" >\"$out\" 2>&1", "sh",
-                                  output.string()};
-  all.insert(all.end(), words.begin(), words.end());
-  const pid_t pid = spawn(all);
+// Runs a program with its output redirected to a file and returns its exit status, 128 if a signal ended it.
+int run(const std::vector<std::string>& command, const fs::path& output) {
+  std::vector<std::string> shell_command = {"/bin/sh", "-c", "out=$1; shift; exec \"$@\" >\"$out\" 2>&1",
+                                            "sh", output.string()};
+  shell_command.insert(shell_command.end(), command.begin(), command.end());
+  const pid_t pid = spawn(shell_command);
   int status = 0;
   while (waitpid(pid, &status, 0) < 0 && errno == EINTR) {
   }
   return WIFEXITED(status) ? WEXITSTATUS(status) : 128;
 }
 
-struct Judged {
+struct CheckResult {
   bool noticed = false;
-  std::string what;  // how far, for the table
+  std::string summary;  // the result as shown in the table
 };
 
-class Bench {
+class Workspace {
  public:
-  explicit Bench(const MutateOptions& options)
+  explicit Workspace(const MutateOptions& options)
       : options_(options), source_(fs::path(options.build_dir) / "source") {
     fs::create_directories(options_.build_dir);
     const fs::path from = fs::absolute(options.source_dir);
     for (const char* part : {"CMakeLists.txt", "README.md", "LICENSE", "cmake", "include", "src", "proto",
                              "tests", "benchmarks", "scenarios", "docs"}) {
-      update(from / part, source_ / part);
+      copy_changed(from / part, source_ / part);
     }
-    must({"cmake", "-G", "Ninja", "-S", source_.string(), "-B",
-          (fs::path(options_.build_dir) / "out").string(), "-DMINTROCK_PROGRAMS=ON",
-          "-DMINTROCK_BUILD_TESTS=ON", "-DCMAKE_BUILD_TYPE=Debug", "-DCMAKE_CXX_FLAGS_DEBUG=-O1"});
+    run_build({"cmake", "-G", "Ninja", "-S", source_.string(), "-B",
+               (fs::path(options_.build_dir) / "out").string(), "-DMINTROCK_PROGRAMS=ON",
+               "-DMINTROCK_BUILD_TESTS=ON", "-DCMAKE_BUILD_TYPE=Debug", "-DCMAKE_CXX_FLAGS_DEBUG=-O1"});
   }
 
   void build(const std::string& target) {
-    must({"cmake", "--build", (fs::path(options_.build_dir) / "out").string(), "--target", target});
+    run_build({"cmake", "--build", (fs::path(options_.build_dir) / "out").string(), "--target", target});
   }
 
-  // Takes the guard out, and puts it back at the end.
-  class Without {
+  // Applies a mutation to the copy and restores the files when destroyed.
+  class AppliedMutation {
    public:
-    Without(const Bench& bench, const Mutation& mutation) {
+    AppliedMutation(const Workspace& workspace, const Mutation& mutation) {
       for (const Mutation::Change& change : mutation.changes) {
-        const fs::path path = bench.source_ / change.file;
-        before_.emplace_back(path, read_file(path));
+        const fs::path path = workspace.source_ / change.file;
+        originals_.emplace_back(path, read_file(path));
         try {
-          write_file(path, apply_change(before_.back().second, change));
+          write_file(path, apply_change(originals_.back().second, change));
         } catch (const std::exception& error) {
           throw std::runtime_error(mutation.name + ": " + change.file + ": " + error.what());
         }
       }
     }
-    ~Without() {
-      for (auto at = before_.rbegin(); at != before_.rend(); ++at) std::ofstream(at->first) << at->second;
+    ~AppliedMutation() {
+      for (auto at = originals_.rbegin(); at != originals_.rend(); ++at)
+        std::ofstream(at->first) << at->second;
     }
-    Without(const Without&) = delete;
+    AppliedMutation(const AppliedMutation&) = delete;
 
    private:
-    std::vector<std::pair<fs::path, std::string>> before_;
+    std::vector<std::pair<fs::path, std::string>> originals_;
   };
 
-  Judged judge(const Mutation& m) {
+  CheckResult run_check(const Mutation& m) {
     const fs::path out = fs::path(options_.build_dir) / "out";
     const fs::path log = fs::path(options_.build_dir) / (m.name + ".log");
     if (m.scenario.empty()) {
@@ -125,15 +126,15 @@
                     100 * rule.at("worst_of_limit").get<double>());
       return {broken > 0, text};
     }
-    throw std::runtime_error(m.name + ": the checker knows no rule '" + m.rule + "'");
+    throw std::runtime_error(m.name + ": the checker has no rule named '" + m.rule + "'");
   }
 
  private:
-  // Only what differs is written, so that little is built anew.
-  static void update(const fs::path& from, const fs::path& to) {
+  // Writes only files whose contents differ, so that little is rebuilt.
+  static void copy_changed(const fs::path& from, const fs::path& to) {
     if (fs::is_directory(from)) {
       for (const auto& entry : fs::recursive_directory_iterator(from)) {
-        if (entry.is_regular_file()) update(entry.path(), to / fs::relative(entry.path(), from));
+        if (entry.is_regular_file()) copy_changed(entry.path(), to / fs::relative(entry.path(), from));
       }
       return;
     }
@@ -144,9 +145,9 @@
     fs::permissions(to, fs::status(from).permissions());
   }
 
-  void must(const std::vector<std::string>& words) {
+  void run_build(const std::vector<std::string>& command) {
     const fs::path log = fs::path(options_.build_dir) / "build.log";
-    if (run(words, log) != 0) throw std::runtime_error("does not build, see " + log.string());
+    if (run(command, log) != 0) throw std::runtime_error("build failed, see " + log.string());
   }
 
   const MutateOptions& options_;
@@ -179,9 +180,10 @@
       m.changes.push_back(change);
     });
     if (m.changes.empty()) from.fail("changes", "is empty");
-    if (m.scenario.empty() == m.test.empty()) from.fail("scenario", "one of scenario and test is wanted");
-    if (m.scenario.empty() != m.rule.empty()) from.fail("rule", "goes with scenario");
-    if (m.test.empty() != m.target.empty()) from.fail("target", "goes with test");
+    if (m.scenario.empty() == m.test.empty())
+      from.fail("scenario", "exactly one of scenario and test is required");
+    if (m.scenario.empty() != m.rule.empty()) from.fail("rule", "must be given exactly if scenario is");
+    if (m.test.empty() != m.target.empty()) from.fail("target", "must be given exactly if test is");
     out.push_back(m);
   });
   top.finish();
@@ -191,53 +193,53 @@
 std::string apply_change(const std::string& text, const Mutation::Change& change) {
   const std::size_t at = text.find(change.find);
   if (change.find.empty() || at == std::string::npos) {
-    throw std::runtime_error("does not have '" + change.find + "'");
+    throw std::runtime_error("does not contain '" + change.find + "'");
   }
   if (text.find(change.find, at + 1) != std::string::npos) {
-    throw std::runtime_error("has '" + change.find + "' more than once");
+    throw std::runtime_error("contains '" + change.find + "' more than once");
   }
   return text.substr(0, at) + change.replace + text.substr(at + change.find.size());
 }
 
 int run_mutations(const MutateOptions& options) {
-  std::vector<Mutation> all;
+  std::vector<Mutation> mutations;
   for (Mutation& each : load_mutations(options.list_file)) {
-    if (each.name.find(options.name_filter) != std::string::npos) all.push_back(std::move(each));
+    if (each.name.find(options.name_filter) != std::string::npos) mutations.push_back(std::move(each));
   }
-  if (all.empty()) throw std::runtime_error("no such mutation");
-  Bench bench(options);
+  if (mutations.empty()) throw std::runtime_error("no mutation matches");
+  Workspace workspace(options);
   json report = json::array();
-  bool good = true;
-  std::map<std::string, Judged> whole;  // with all guards in place, by what is run
+  bool all_as_expected = true;
+  std::map<std::string, CheckResult> baseline;  // results with all guards in place, by check
   std::printf("%-24s %-20s %-34s %-34s %s\n", "without", "noticed by", "with all guards", "without it", "");
-  for (const Mutation& m : all) {
+  for (const Mutation& m : mutations) {
     const std::string key = m.scenario.empty() ? m.target + m.test : m.scenario + m.rule;
-    if (whole.count(key) == 0) whole[key] = bench.judge(m);
-    Judged without;
+    if (baseline.count(key) == 0) baseline[key] = workspace.run_check(m);
+    CheckResult without;
     {
-      const Bench::Without taken(bench, m);
-      without = bench.judge(m);
+      const Workspace::AppliedMutation applied(workspace, m);
+      without = workspace.run_check(m);
     }
-    const bool fine = !whole[key].noticed && without.noticed != m.expect_undetected;
-    good &= fine;
+    const bool as_expected = !baseline[key].noticed && without.noticed != m.expect_undetected;
+    all_as_expected &= as_expected;
     std::printf("%-24s %-20s %-34s %-34s %s\n", m.name.c_str(), (m.rule.empty() ? m.test : m.rule).c_str(),
-                whole[key].what.c_str(), without.what.c_str(),
-                whole[key].noticed    ? "CRIES WITHOUT CAUSE"
-                : without.noticed     ? (m.expect_undetected ? "NOTICED, AND WAS SAID TO HOLD" : "noticed")
-                : m.expect_undetected ? "holds: others stand behind it"
+                baseline[key].summary.c_str(), without.summary.c_str(),
+                baseline[key].noticed ? "FALSE ALARM"
+                : without.noticed     ? (m.expect_undetected ? "NOTICED, EXPECTED TO HOLD" : "noticed")
+                : m.expect_undetected ? "holds: other guards cover for it"
                                       : "NOT NOTICED");
     std::fflush(stdout);
     report.push_back({{"name", m.name},
                       {"guards", m.guards},
                       {"by", m.rule.empty() ? m.test : m.rule},
-                      {"with_all", whole[key].what},
-                      {"without", without.what},
+                      {"with_all", baseline[key].summary},
+                      {"without", without.summary},
                       {"noticed", without.noticed},
-                      {"as_expected", fine}});
+                      {"as_expected", as_expected}});
   }
   if (!options.report_file.empty()) write_file(options.report_file, report.dump(2) + "\n");
-  std::printf("%s\n", good ? "every guard is seen to work" : "NOT GOOD");
-  return good ? 0 : 1;
+  std::printf("%s\n", all_as_expected ? "every mutation had the expected result" : "NOT GOOD");
+  return all_as_expected ? 0 : 1;
 }
 
 }  // namespace mintrock::lab
