--- a/src/lab/bench.hpp
+++ b/src/lab/bench.hpp
@@ -1,6 +1,6 @@
-// What the proxy costs: calls a second through one proxy at one core server, and the delay that it adds,
-// beside a bare relay (same loop, same framing, frames passed on by session, no decisions) and no proxy at
-// all, in turns within one run.
+// Measures what the proxy costs: calls per second through one proxy at one core server and the delay that it
+// adds. The same load runs in turns, within one run, through a bare relay (same event loop and framing,
+// passes frames on by session, makes no decisions) and directly to the core server.
 #ifndef MINTROCK_SRC_LAB_BENCH_HPP_
 #define MINTROCK_SRC_LAB_BENCH_HPP_
 
@@ -11,20 +11,21 @@
 
 struct BenchOptions {
   std::string edge_program;
-  double seconds = 3;  // of each measurement
+  double seconds = 3;  // length of each measurement
   std::uint32_t rounds = 3;
-  double paired_rate = 0;  // calls a second of the paired measurement; 0: a quarter of the proxy's most
-  std::uint32_t outstanding = 64;  // calls at once, where the highest rate is sought
-  std::string report_file;         // JSON
+  double paired_rate =
+      0;  // calls per second of the paired measurement; 0: a quarter of the proxy's highest rate
+  std::uint32_t outstanding = 64;  // calls in flight while the highest rate is measured
+  std::string report_file;         // JSON; empty: none
 };
 int run_bench(const BenchOptions& options);
-// What a proxy just started refuses, with a core server that is idle and fast: `outstanding` calls at once,
-// and 200, 1,000 and 5,000 calls a second.
+// Measures what a freshly started proxy refuses in front of an idle, fast core server: at 200, 1,000 and
+// 5,000 calls per second, each with and without an initial burst of `outstanding` calls.
 int run_restart_bench(const BenchOptions& options);
 
-// Parts of it, each a process of its own.
+// The core server and the relay of the benchmark, each run as a separate process.
 int run_bench_core(std::uint16_t port);
-int run_bench_relay(std::uint16_t port, std::uint16_t to);
+int run_bench_relay(std::uint16_t port, std::uint16_t core_port);
 
 }  // namespace mintrock::lab
 
