--- a/src/lab/import_day.hpp
+++ b/src/lab/import_day.hpp
@@ -1,5 +1,5 @@
-// A day of the bench as a scenario of the lab: its kinds of trouble, sizes and rates, scaled to few machines.
-// Read when it is asked for; nothing of it is stored.
+// Converts a day of the simulation bench (a JSON file) into a lab scenario: keeps its kinds of faults, sizes
+// and rates, scaled down to a few machines. Only reads the file and stores nothing.
 #ifndef MINTROCK_SRC_LAB_IMPORT_DAY_HPP_
 #define MINTROCK_SRC_LAB_IMPORT_DAY_HPP_
 
@@ -8,8 +8,8 @@
 
 namespace mintrock::lab {
 
-// The scenario's YAML. Kinds of trouble that the lab doesn't have are named in comments. Throws
-// std::runtime_error with one line: the file, and what is missing.
+// Returns the scenario as YAML. Kinds of faults that the lab does not support are named in YAML comments.
+// Throws std::runtime_error with a one-line message that names the file and what is missing.
 std::string import_day(const std::string& file, std::uint32_t cores, std::uint32_t proxies);
 
 }  // namespace mintrock::lab
--- a/src/lab/plot.cpp
+++ b/src/lab/plot.cpp
@@ -12,13 +12,13 @@
 namespace mintrock::lab {
 namespace {
 
-std::string figure(double value) {
+std::string format_number(double value) {
   char text[32];
   std::snprintf(text, sizeof text, "%.6g", value);
   return text;
 }
 
-// What gnuplot would read as its own within a quoted text.
+// Quotes a text for gnuplot; underscores become spaces.
 std::string quoted(const std::string& text) {
   std::string out = "\"";
   for (const char c : text) {
@@ -44,13 +44,13 @@
   for (const std::string& each : classes) out += " " + quoted(each);
   out += "\n";
   for (const SecondSummary& s : report.seconds) {
-    out += figure(s.start_s);
+    out += format_number(s.start_s);
     for (const std::uint64_t n : {s.tries, s.established, s.refused, s.failed, s.unanswered})
       out += " " + std::to_string(n);
-    out += " " + figure(s.delay_p50_s * 1000) + " " + figure(s.delay_p99_s * 1000);
+    out += " " + format_number(s.delay_p50_s * 1000) + " " + format_number(s.delay_p99_s * 1000);
     for (const std::string& each : classes) {
       const auto at = s.served_share.find(each);
-      out += " " + (at == s.served_share.end() ? std::string("NaN") : figure(at->second));
+      out += " " + (at == s.served_share.end() ? std::string("NaN") : format_number(at->second));
     }
     out += "\n";
   }
@@ -62,8 +62,8 @@
       "set terminal svg size 1100,420 noenhanced background rgb 'white'\n"
       "set grid\nset key outside right top\nset xlabel 's'\nset style data lines\n";
   const double end = report.seconds.empty() ? 1 : report.seconds.back().start_s + 1;
-  out += "set xrange [0:" + figure(end) + "]\n";
-  // Bands one below the other, so that troubles at one time can be told apart.
+  out += "set xrange [0:" + format_number(end) + "]\n";
+  // Stacks the bands, so that faults at the same time can be distinguished.
   constexpr int kRows = 8;
   int row = 0;
   int object = 0;
@@ -71,11 +71,12 @@
     const double height = 1.0 / kRows;
     const double top = 1 - height * (row++ % kRows);
     const std::string at = std::to_string(++object);
-    out += "set object " + at + " rectangle from first " + figure(f.start_s) + ", graph " +
-           figure(top - height) + " to first " + figure(f.start_s + std::max(f.duration_s, end / 400)) +
-           ", graph " + figure(top) + " fillcolor rgb '#e08040' fillstyle solid 0.25 noborder behind\n";
-    out += "set label " + at + " " + quoted(f.description) + " at first " + figure(f.start_s) + ", graph " +
-           figure(top - height / 2) + " font ',8' textcolor rgb '#804010' front\n";
+    out += "set object " + at + " rectangle from first " + format_number(f.start_s) + ", graph " +
+           format_number(top - height) + " to first " +
+           format_number(f.start_s + std::max(f.duration_s, end / 400)) + ", graph " + format_number(top) +
+           " fillcolor rgb '#e08040' fillstyle solid 0.25 noborder behind\n";
+    out += "set label " + at + " " + quoted(f.description) + " at first " + format_number(f.start_s) +
+           ", graph " + format_number(top - height / 2) + " font ',8' textcolor rgb '#804010' front\n";
   }
   const std::string data = "'" + folder + "/run.dat'";
   const auto picture = [&](const char* name, const char* label, const std::string& plot) {
--- a/src/lab/plot.hpp
+++ b/src/lab/plot.hpp
@@ -1,4 +1,4 @@
-// The course of a run as pictures: rate, service by class, delay, each fault as a band; drawn by gnuplot.
+// Plots the course of a run with gnuplot: rate, service by class and delay, with a band for each fault.
 #ifndef MINTROCK_SRC_LAB_PLOT_HPP_
 #define MINTROCK_SRC_LAB_PLOT_HPP_
 
@@ -8,13 +8,13 @@
 
 namespace mintrock::lab {
 
-// Figures, second by second, as gnuplot reads them: a line of names behind '#', then a line each second.
+// Returns the data file for gnuplot: a line of column names after '#', then one line per second.
 std::string plot_data(const CheckReport& report);
-// The script that draws FOLDER/{rate,service,delay}.svg from FOLDER/run.dat.
+// Returns the gnuplot script that draws FOLDER/{rate,service,delay}.svg from FOLDER/run.dat.
 std::string plot_script(const CheckReport& report, const std::string& folder);
 
-// Writes both into the folder and has gnuplot draw. False, with a line on standard error, where it can't;
-// data and script stay there.
+// Writes both into the folder and runs gnuplot. If gnuplot fails, prints a line to standard error and returns
+// false; data and script remain in the folder.
 bool write_plots(const CheckReport& report, const std::string& folder);
 
 }  // namespace mintrock::lab
--- a/tests/lab/import_day_test.cpp
+++ b/tests/lab/import_day_test.cpp
@@ -46,65 +46,65 @@
           {"troubles", json::array()}};
 }
 
-json trouble(const char* kind, double size, double extra, json on, json steps = json::array()) {
+json make_fault(const char* kind, double size, double extra, json on, json steps = json::array()) {
   return {{"kind", kind},   {"at", 5000000}, {"len", 4000000}, {"size", size},
           {"extra", extra}, {"on", on},      {"steps", steps}};
 }
 
-struct Imported {
+struct ImportResult {
   std::string text;
   Scenario scenario;
-  std::string fault;
+  std::string error;
 };
 
-Imported import(const json& day) {
+ImportResult import(const json& day) {
   const std::string base = ::testing::TempDir() + "day-" + std::to_string(getpid());
   std::ofstream(base + ".json") << day.dump();
-  Imported out;
+  ImportResult out;
   try {
     out.text = import_day(base + ".json", 3, 4);
     std::ofstream(base + ".yaml") << out.text;
-    out.scenario = load_scenario(base + ".yaml");  // what is written must be a scenario
-  } catch (const std::exception& error) {
-    out.fault = error.what();
+    out.scenario = load_scenario(base + ".yaml");  // the output must be a valid scenario
+  } catch (const std::exception& exception) {
+    out.error = exception.what();
   }
   std::remove((base + ".json").c_str());
   std::remove((base + ".yaml").c_str());
   return out;
 }
 
-TEST(ImportDay, SizesRatesAndRulesAreScaled) {
-  const Imported got = import(small_day());
-  ASSERT_EQ(got.fault, "");
-  EXPECT_EQ(got.scenario.cores, 3u);
-  EXPECT_EQ(got.scenario.proxies, 4u);
-  EXPECT_NEAR(got.scenario.rate, 0.5 * 50 * 3, 0.1);
-  EXPECT_NEAR(got.scenario.setup_work_s + got.scenario.release_work_s, 0.02, 0.001);
-  EXPECT_EQ(got.scenario.rules.overload_factor, 3.0);
-  EXPECT_EQ(got.scenario.classes[0].told.effect, Effect::kOnce);
-  EXPECT_NEAR(got.scenario.patience_s, 2.7, 1e-6);
+TEST(ImportDay, ScalesSizesRatesAndRules) {
+  const ImportResult result = import(small_day());
+  ASSERT_EQ(result.error, "");
+  EXPECT_EQ(result.scenario.cores, 3u);
+  EXPECT_EQ(result.scenario.proxies, 4u);
+  EXPECT_NEAR(result.scenario.rate, 0.5 * 50 * 3, 0.1);
+  EXPECT_NEAR(result.scenario.setup_work_s + result.scenario.release_work_s, 0.02, 0.001);
+  EXPECT_EQ(result.scenario.rules.overload_factor, 3.0);
+  EXPECT_EQ(result.scenario.classes[0].told.effect, Effect::kOnce);
+  EXPECT_NEAR(result.scenario.patience_s, 2.7, 1e-6);
 }
 
-TEST(ImportDay, EachKindOfTroubleBecomesTheLabs) {
+TEST(ImportDay, MapsEachKindOfFault) {
   json day = small_day();
   const json step =
       json::array({{{"at", 6000000}, {"stop", {0, 1, 2, 3, 4, 5, 6, 7}}, {"start", json::array()}}});
-  day["troubles"] = {trouble("burst", 1.5, 0, json::array()),
-                     trouble("slow", 2, 0, {4}),
-                     trouble("hang", 0, 0, {1}),
-                     trouble("crash", 0, 0, {2}),
-                     trouble("answer_lost", 0.2, 0, {0}),
-                     trouble("pauses", 300, 2, {1}),
-                     trouble("ageing", 5, 3, {5}),
-                     trouble("deploy", 0.1, 7, json::array(), step),
-                     trouble("balancer_roll", 0.2, 0, json::array(), step),
-                     trouble("shared_slow", 2, 0, {0, 1, 2, 3, 4, 5}),
-                     trouble("give_up", 0.1, 0, json::array()),
-                     trouble("meteor", 1, 1, json::array())};
-  const Imported got = import(day);
-  ASSERT_EQ(got.fault, "");
+  day["troubles"] = {make_fault("burst", 1.5, 0, json::array()),
+                     make_fault("slow", 2, 0, {4}),
+                     make_fault("hang", 0, 0, {1}),
+                     make_fault("crash", 0, 0, {2}),
+                     make_fault("answer_lost", 0.2, 0, {0}),
+                     make_fault("pauses", 300, 2, {1}),
+                     make_fault("ageing", 5, 3, {5}),
+                     make_fault("deploy", 0.1, 7, json::array(), step),
+                     make_fault("balancer_roll", 0.2, 0, json::array(), step),
+                     make_fault("shared_slow", 2, 0, {0, 1, 2, 3, 4, 5}),
+                     make_fault("give_up", 0.1, 0, json::array()),
+                     make_fault("meteor", 1, 1, json::array())};
+  const ImportResult result = import(day);
+  ASSERT_EQ(result.error, "");
   std::map<Event::Kind, int> kinds;
-  for (const Event& event : got.scenario.events) kinds[event.kind] += 1;
+  for (const Event& event : result.scenario.events) kinds[event.kind] += 1;
   EXPECT_EQ(kinds[Event::Kind::kSurge], 1);
   EXPECT_EQ(kinds[Event::Kind::kSlow], 1 + 4 + 3) << "slow, the steps of ageing, all three of shared_slow";
   EXPECT_EQ(kinds[Event::Kind::kSwallow], 1);
@@ -113,15 +113,15 @@
   EXPECT_EQ(kinds[Event::Kind::kPause], 2);
   EXPECT_EQ(kinds[Event::Kind::kKillProxy], 4);
   EXPECT_GE(kinds[Event::Kind::kDrain], 1);
-  EXPECT_NEAR(got.scenario.abandon_share, 0.11, 1e-6);
-  EXPECT_NE(got.text.find("# meteor: left out"), std::string::npos);
+  EXPECT_NEAR(result.scenario.abandon_share, 0.11, 1e-6);
+  EXPECT_NE(result.text.find("# meteor: left out"), std::string::npos);
 }
 
-TEST(ImportDay, WhatIsMissingIsNamed) {
+TEST(ImportDay, ErrorsNameWhatIsMissing) {
   json day = small_day();
   day.erase("fam");
-  EXPECT_NE(import(day).fault.find("the day has no 'fam'"), std::string::npos);
-  EXPECT_NE(import(json::array()).fault.find("is no JSON object"), std::string::npos);
+  EXPECT_NE(import(day).error.find("the day has no 'fam'"), std::string::npos);
+  EXPECT_NE(import(json::array()).error.find("is not a JSON object"), std::string::npos);
   EXPECT_THROW(import_day("/nowhere/day.json", 1, 1), std::runtime_error);
 }
 
