--- a/tests/lab/checker_test.cpp
+++ b/tests/lab/checker_test.cpp
@@ -1,5 +1,5 @@
-// The checker must catch each broken rule: a good trace is doctored in one place, and that rule, and no
-// other, must be found broken.
+// The checker must detect each broken rule: each test builds a valid trace with one fault in it, and the
+// checker must report exactly that rule as broken.
 #include "lab/checker.hpp"
 
 #include <gtest/gtest.h>
@@ -16,11 +16,11 @@
 
 namespace avp = diameter::avp;
 
-struct Story {
+struct TestTrace {
   Scenario scenario;
   std::vector<v1::Record> records;
 
-  Story() {
+  TestTrace() {
     scenario.cores = 2;
     scenario.patience_s = 3;
     scenario.rules.release_wait_s = 0.5;
@@ -64,35 +64,35 @@
     b.text(avp::kSessionId, session).u32(avp::kResultCode, result).u32(avp::kCcRequestType, 1);
     return b.finish();
   }
-  void caller(double time, const std::string& frame, bool outgoing) {
+  void add_caller_frame(double time, const std::string& frame, bool outgoing) {
     add(time, v1::Record::FRAME, "dock-0.lab.test", "edge-0.lab.test", outgoing).set_frame(frame);
   }
-  void core(double time, int number, const std::string& frame, bool outgoing) {
+  void add_core_frame(double time, int number, const std::string& frame, bool outgoing) {
     add(time, v1::Record::FRAME, core_name(static_cast<std::uint32_t>(number)), "edge-0.lab.test", outgoing)
         .set_frame(frame);
   }
-  void note(double time, const std::string& who, const nlohmann::json& text) {
+  void add_note(double time, const std::string& who, const nlohmann::json& text) {
     add(time, v1::Record::NOTE, who, "", false).set_text(text.dump());
   }
-  void list(double time, int number, ServerEntry::State state) {
+  void add_list(double time, int number, ServerEntry::State state) {
     list::News news;
     news.revision = static_cast<std::uint64_t>(time * 1000);
     news.full = false;
     news.entries = {{core_name(static_cast<std::uint32_t>(number)), "127.0.0.1:1", 0, 0, 1, state}};
     add(time, v1::Record::LIST, "list", "edge-0.lab.test", true).set_text(list::print_news(news));
   }
-  // A call that stands at core 0 and is ended.
-  void good_call(const std::string& session, double at) {
-    caller(at, ccr(session, 1), true);
-    core(at + 0.001, 0, ccr(session, 1), false);
-    core(at + 0.02, 0, cca(session, 2001), true);
-    caller(at + 0.021, cca(session, 2001), false);
-    caller(at + 1, ccr(session, 3), true);
-    core(at + 1.001, 0, ccr(session, 3), false);
+  // A call that is established at core 0 and ends normally.
+  void add_normal_call(const std::string& session, double at) {
+    add_caller_frame(at, ccr(session, 1), true);
+    add_core_frame(at + 0.001, 0, ccr(session, 1), false);
+    add_core_frame(at + 0.02, 0, cca(session, 2001), true);
+    add_caller_frame(at + 0.021, cca(session, 2001), false);
+    add_caller_frame(at + 1, ccr(session, 3), true);
+    add_core_frame(at + 1.001, 0, ccr(session, 3), false);
   }
   CheckReport check() const { return check_traces(scenario, records); }
-  // The only rule that is broken, or what else is the matter.
-  std::string broken() const {
+  // The names of all broken rules, separated by commas.
+  std::string broken_rules() const {
     const CheckReport report = check();
     std::string out;
     for (const RuleResult& each : report.rules) {
@@ -103,158 +103,160 @@
   }
 };
 
-TEST(Checker, AGoodStoryIsGood) {
-  Story s;
-  s.good_call("dock-0;1;1", 10);
-  s.good_call("dock-0;2;1", 12);
-  EXPECT_EQ(s.broken(), "");
+TEST(Checker, AcceptsAValidTrace) {
+  TestTrace s;
+  s.add_normal_call("dock-0;1;1", 10);
+  s.add_normal_call("dock-0;2;1", 12);
+  EXPECT_EQ(s.broken_rules(), "");
   const CheckReport report = s.check();
   EXPECT_TRUE(report.passed());
   EXPECT_EQ(report.classes.at("a").established, 2u);
   EXPECT_EQ(report.classes.at("a").served_share, 1.0);
 }
 
-TEST(Checker, NothingAtAllIsNotGood) { EXPECT_FALSE(Story().check().passed()); }
+TEST(Checker, RejectsAnEmptyTrace) { EXPECT_FALSE(TestTrace().check().passed()); }
 
-TEST(Checker, ACallWithoutAnswerIsCaught) {
-  Story s;
-  s.good_call("dock-0;1;1", 10);
-  s.caller(20, Story::ccr("dock-0;2;1", 1), true);
-  EXPECT_EQ(s.broken(), "one answer");
-  // Unless its connection was lost: nobody could be told.
+TEST(Checker, DetectsACallWithoutAnAnswer) {
+  TestTrace s;
+  s.add_normal_call("dock-0;1;1", 10);
+  s.add_caller_frame(20, TestTrace::ccr("dock-0;2;1", 1), true);
+  EXPECT_EQ(s.broken_rules(), "one answer");
+  // If its connection was lost, nobody could be notified.
   s.add(21, v1::Record::CLOSED, "dock-0.lab.test", "edge-0.lab.test", false);
-  EXPECT_EQ(s.broken(), "");
+  EXPECT_EQ(s.broken_rules(), "");
 }
 
-// Callers close their connections at the end of a run: that was taken for a reason of not being answered.
-TEST(Checker, AConnectionThatClosesAfterTheCallersPatienceExcusesNothing) {
-  Story s;
-  s.good_call("dock-0;1;1", 10);
-  s.caller(20, Story::ccr("dock-0;2;1", 1), true);
+// Callers close their connections at the end of a run; the checker used to take that as an excuse for a
+// missing answer.
+TEST(Checker, AConnectionClosedAfterTheCallersPatienceIsNoExcuse) {
+  TestTrace s;
+  s.add_normal_call("dock-0;1;1", 10);
+  s.add_caller_frame(20, TestTrace::ccr("dock-0;2;1", 1), true);
   s.add(23.5, v1::Record::CLOSED, "dock-0.lab.test", "edge-0.lab.test", false);
-  EXPECT_EQ(s.broken(), "one answer");
+  EXPECT_EQ(s.broken_rules(), "one answer");
 }
 
-TEST(Checker, TwoAnswersAreCaught) {
-  Story s;
-  s.good_call("dock-0;1;1", 10);
-  s.caller(10.5, Story::cca("dock-0;1;1", 2001), false);
-  EXPECT_EQ(s.broken(), "one answer");
+TEST(Checker, DetectsADuplicateAnswer) {
+  TestTrace s;
+  s.add_normal_call("dock-0;1;1", 10);
+  s.add_caller_frame(10.5, TestTrace::cca("dock-0;1;1", 2001), false);
+  EXPECT_EQ(s.broken_rules(), "one answer");
 }
 
-TEST(Checker, ALateAnswerIsCaught) {
-  Story s;
-  s.caller(10, Story::ccr("dock-0;1;1", 1), true);
-  s.caller(13.1, Story::cca("dock-0;1;1", 3004), false);
-  EXPECT_EQ(s.broken(), "one answer");
+TEST(Checker, DetectsALateAnswer) {
+  TestTrace s;
+  s.add_caller_frame(10, TestTrace::ccr("dock-0;1;1", 1), true);
+  s.add_caller_frame(13.1, TestTrace::cca("dock-0;1;1", 3004), false);
+  EXPECT_EQ(s.broken_rules(), "one answer");
 }
 
-TEST(Checker, ASetupAfterTheFinalAnswerIsCaught) {
-  Story s;
-  s.caller(10, Story::ccr("dock-0;1;1", 1), true);
-  s.caller(10.5, Story::cca("dock-0;1;1", 3004), false);
-  s.core(10.6, 0, Story::ccr("dock-0;1;1", 1), false);
-  s.core(10.7, 0, Story::cca("dock-0;1;1", 3004), true);
-  EXPECT_EQ(s.broken(), "one answer");
+TEST(Checker, DetectsASetupAfterTheFinalAnswer) {
+  TestTrace s;
+  s.add_caller_frame(10, TestTrace::ccr("dock-0;1;1", 1), true);
+  s.add_caller_frame(10.5, TestTrace::cca("dock-0;1;1", 3004), false);
+  s.add_core_frame(10.6, 0, TestTrace::ccr("dock-0;1;1", 1), false);
+  s.add_core_frame(10.7, 0, TestTrace::cca("dock-0;1;1", 3004), true);
+  EXPECT_EQ(s.broken_rules(), "one answer");
 }
 
-TEST(Checker, TwoAttemptsOutAreCaught) {
-  Story s;
+TEST(Checker, DetectsTwoAttemptsInFlight) {
+  TestTrace s;
   const std::string id = "dock-0;1;1";
-  s.caller(10, Story::ccr(id, 1), true);
-  s.core(10.001, 0, Story::ccr(id, 1), false);
-  s.core(10.1, 1, Story::ccr(id, 1), false);
-  s.core(10.2, 0, Story::cca(id, 3004), true);
-  s.core(10.3, 1, Story::cca(id, 3004), true);
-  s.caller(10.4, Story::cca(id, 3004), false);
-  EXPECT_EQ(s.broken(), "one attempt");
+  s.add_caller_frame(10, TestTrace::ccr(id, 1), true);
+  s.add_core_frame(10.001, 0, TestTrace::ccr(id, 1), false);
+  s.add_core_frame(10.1, 1, TestTrace::ccr(id, 1), false);
+  s.add_core_frame(10.2, 0, TestTrace::cca(id, 3004), true);
+  s.add_core_frame(10.3, 1, TestTrace::cca(id, 3004), true);
+  s.add_caller_frame(10.4, TestTrace::cca(id, 3004), false);
+  EXPECT_EQ(s.broken_rules(), "one attempt");
 }
 
-TEST(Checker, ASetupToADrainedServerIsCaught) {
-  Story s;
-  s.list(9, 0, ServerEntry::State::kDraining);
-  s.good_call("dock-0;1;1", 9.2);
-  EXPECT_EQ(s.broken(), "") << "within the grace";
-  s.good_call("dock-0;2;1", 9.3);
-  EXPECT_EQ(s.broken(), "drains kept");
+TEST(Checker, DetectsASetupToADrainingServer) {
+  TestTrace s;
+  s.add_list(9, 0, ServerEntry::State::kDraining);
+  s.add_normal_call("dock-0;1;1", 9.2);
+  EXPECT_EQ(s.broken_rules(), "") << "within the grace time";
+  s.add_normal_call("dock-0;2;1", 9.3);
+  EXPECT_EQ(s.broken_rules(), "drains kept");
 }
 
-TEST(Checker, ARestartedProxyHasBeenToldNothing) {
-  Story s;
-  s.list(9, 0, ServerEntry::State::kDraining);
-  s.note(9.5, "edge-0.lab.test", {{"event", "proxy_started"}});
-  s.good_call("dock-0;1;1", 9.6);
-  EXPECT_EQ(s.broken(), "");
-  s.list(11, 0, ServerEntry::State::kDraining);
-  s.good_call("dock-0;2;1", 11.3);
-  EXPECT_EQ(s.broken(), "drains kept");
+TEST(Checker, ARestartedProxyHasNotReceivedEarlierNotices) {
+  TestTrace s;
+  s.add_list(9, 0, ServerEntry::State::kDraining);
+  s.add_note(9.5, "edge-0.lab.test", {{"event", "proxy_started"}});
+  s.add_normal_call("dock-0;1;1", 9.6);
+  EXPECT_EQ(s.broken_rules(), "");
+  s.add_list(11, 0, ServerEntry::State::kDraining);
+  s.add_normal_call("dock-0;2;1", 11.3);
+  EXPECT_EQ(s.broken_rules(), "drains kept");
 }
 
-TEST(Checker, AColdServerPushedOverIsCaught) {
-  // 0.25 of 20 a second, twice that for 2 s, while it gains: 25 set-ups.
-  Story s;
-  s.note(9, core_name(0), {{"event", "start"}, {"cold", true}, {"capacity", 20.0}});
-  for (int i = 0; i < 25; ++i) s.good_call("dock-0;" + std::to_string(i) + ";1", 9.1 + i * 0.01);
-  EXPECT_EQ(s.broken(), "");
+TEST(Checker, DetectsAnOverloadedColdServer) {
+  // A quarter of 20 set-ups per second, times two, for 2 s, while the server warms up: 25 set-ups.
+  TestTrace s;
+  s.add_note(9, core_name(0), {{"event", "start"}, {"cold", true}, {"capacity", 20.0}});
+  for (int i = 0; i < 25; ++i) s.add_normal_call("dock-0;" + std::to_string(i) + ";1", 9.1 + i * 0.01);
+  EXPECT_EQ(s.broken_rules(), "");
   EXPECT_GT(s.check().rules[3].worst_ratio, 0.9);
-  for (int i = 25; i < 30; ++i) s.good_call("dock-0;" + std::to_string(i) + ";1", 9.1 + i * 0.01);
-  EXPECT_EQ(s.broken(), "cold not pushed over");
+  for (int i = 25; i < 30; ++i) s.add_normal_call("dock-0;" + std::to_string(i) + ";1", 9.1 + i * 0.01);
+  EXPECT_EQ(s.broken_rules(), "cold not pushed over");
 }
 
-TEST(Checker, AReleaseNotAwaitedIsCaught) {
+TEST(Checker, DetectsAnAttemptTooSoonAfterARelease) {
   for (const double wait : {0.51, 0.3}) {
-    Story s;
+    TestTrace s;
     const std::string id = "dock-0;1;1";
-    s.caller(10, Story::ccr(id, 1), true);
-    s.core(10.001, 0, Story::ccr(id, 1), false);
-    s.core(11, 0, Story::ccr(id, 3), false);  // given up
-    s.core(11 + wait, 1, Story::ccr(id, 1), false);
-    s.core(11.8, 1, Story::cca(id, 2001), true);
-    s.caller(11.9, Story::cca(id, 2001), false);
-    s.core(12, 1, Story::ccr(id, 3), false);
-    EXPECT_EQ(s.broken(), wait > 0.5 ? "" : "release awaited");
+    s.add_caller_frame(10, TestTrace::ccr(id, 1), true);
+    s.add_core_frame(10.001, 0, TestTrace::ccr(id, 1), false);
+    s.add_core_frame(11, 0, TestTrace::ccr(id, 3), false);  // the attempt is given up
+    s.add_core_frame(11 + wait, 1, TestTrace::ccr(id, 1), false);
+    s.add_core_frame(11.8, 1, TestTrace::cca(id, 2001), true);
+    s.add_caller_frame(11.9, TestTrace::cca(id, 2001), false);
+    s.add_core_frame(12, 1, TestTrace::ccr(id, 3), false);
+    EXPECT_EQ(s.broken_rules(), wait > 0.5 ? "" : "release awaited");
   }
 }
 
-TEST(Checker, AResetNotAwaitedIsCaught) {
-  Story s;
+TEST(Checker, DetectsAnAttemptTooSoonAfterAReset) {
+  TestTrace s;
   const std::string id = "dock-0;1;1";
-  s.caller(10, Story::ccr(id, 1), true);
-  s.core(10.001, 0, Story::ccr(id, 1), false);
+  s.add_caller_frame(10, TestTrace::ccr(id, 1), true);
+  s.add_core_frame(10.001, 0, TestTrace::ccr(id, 1), false);
   s.add(10.1, v1::Record::CLOSED, core_name(0), "edge-0.lab.test", true);
-  s.core(10.2, 1, Story::ccr(id, 1), false);
-  s.core(10.3, 1, Story::cca(id, 3004), true);
-  s.caller(10.4, Story::cca(id, 3004), false);
-  EXPECT_EQ(s.broken(), "release awaited");
+  s.add_core_frame(10.2, 1, TestTrace::ccr(id, 1), false);
+  s.add_core_frame(10.3, 1, TestTrace::cca(id, 3004), true);
+  s.add_caller_frame(10.4, TestTrace::cca(id, 3004), false);
+  EXPECT_EQ(s.broken_rules(), "release awaited");
 }
 
-// An attempt that was given up ends by its release: a connection that closes long after says nothing of it.
-TEST(Checker, AConnectionThatClosesLongAfterAReleaseIsNoDoubt) {
-  Story s;
+// An attempt that was given up ends with its release; a connection that closes long after does not make its
+// outcome unknown again.
+TEST(Checker, AConnectionClosedLongAfterAReleaseIsIgnored) {
+  TestTrace s;
   const std::string id = "dock-0;1;1";
-  s.caller(10, Story::ccr(id, 1), true);
-  s.core(10.001, 0, Story::ccr(id, 1), false);
-  s.core(11, 0, Story::ccr(id, 3), false);
-  s.core(11.6, 1, Story::ccr(id, 1), false);
-  s.core(11.8, 1, Story::cca(id, 3004), true);
-  s.caller(11.9, Story::cca(id, 3004), false);
+  s.add_caller_frame(10, TestTrace::ccr(id, 1), true);
+  s.add_core_frame(10.001, 0, TestTrace::ccr(id, 1), false);
+  s.add_core_frame(11, 0, TestTrace::ccr(id, 3), false);
+  s.add_core_frame(11.6, 1, TestTrace::ccr(id, 1), false);
+  s.add_core_frame(11.8, 1, TestTrace::cca(id, 3004), true);
+  s.add_caller_frame(11.9, TestTrace::cca(id, 3004), false);
   s.add(30, v1::Record::CLOSED, core_name(0), "edge-0.lab.test", true);
-  EXPECT_EQ(s.broken(), "");
+  EXPECT_EQ(s.broken_rules(), "");
 }
 
-TEST(Checker, ASessionLeftBehindIsNotGood) {
-  Story s;
-  s.good_call("dock-0;1;1", 10);
-  s.records.pop_back();  // its end never reached the core server
+TEST(Checker, DetectsASessionLeftBehind) {
+  TestTrace s;
+  s.add_normal_call("dock-0;1;1", 10);
+  s.records.pop_back();  // the end of the call never reaches the core server
   const CheckReport report = s.check();
   EXPECT_EQ(report.left_behind, 1u);
   EXPECT_FALSE(report.passed());
 }
 
-TEST(Trace, IsReadBackAndACutEndIsLeftOut) {
+TEST(Trace, IsReadBackWithoutATruncatedLastRecord) {
   const std::string path = ::testing::TempDir() + "trace-test.trace";
-  Story s;
-  s.good_call("dock-0;1;1", 10);
+  TestTrace s;
+  s.add_normal_call("dock-0;1;1", 10);
   {
     TraceWriter writer(path);
     for (const auto& each : s.records) writer.write(each);
--- a/tests/lab/decoder_test.sh
+++ b/tests/lab/decoder_test.sh
@@ -1,7 +1,7 @@
 #!/bin/bash
-# An independent decoder agrees: a short run's frames, written as a capture file, are decoded by tshark as
-# Diameter, every one, without a malformed frame, an unknown AVP or any other warning.
-# Arguments: mintrock-lab, the source folder. Skipped (77) only where tshark is missing.
+# Checks the frames of a short run with an independent decoder: tshark must decode every frame of the capture
+# file as Diameter, without a malformed frame, an unknown AVP or any other warning.
+# Arguments: mintrock-lab, the source folder. Skipped (exit status 77) only if tshark is not installed.
 set -euo pipefail
 lab=$1
 source=$2
@@ -13,11 +13,11 @@
 "$lab" check "$work/run" --pcap "$work/all.pcap" --slack 10s >"$work/check"
 frames=$(sed -n 's/^\([0-9]*\) frames in .*/\1/p' "$work/check")
 test "$frames" -gt 1000
-# Wireshark's own dictionary with the project's few AVPs in its place for custom ones.
+# Wireshark's dictionary, with the project's AVPs as its custom ones.
 cp -r /usr/share/wireshark "$work/data"
 cp "$source/docs/wireshark/mintrock.xml" "$work/data/diameter/Custom.xml"
 chmod -R a+rX "$work"
-# Wireshark heeds the variable for ordinary users alone.
+# Wireshark ignores WIRESHARK_DATA_DIR for root, so drop privileges.
 as=()
 if [ "$(id -u)" = 0 ]; then as=(setpriv --reuid=65534 --regid=65534 --clear-groups); fi
 "${as[@]}" env HOME="$work" WIRESHARK_DATA_DIR="$work/data" tshark -n -r "$work/all.pcap" \
@@ -25,10 +25,10 @@
   -T fields -e frame.protocols -e _ws.malformed -e diameter.avp.unknown -e _ws.expert.message \
   2>"$work/errors" | sort | uniq -c >"$work/kinds"
 head -20 "$work/kinds"
-# One kind of line: protocols, and nothing in the three fields of complaint.
+# All lines must be alike: the expected protocols, and nothing in the three fields for errors and warnings.
 test "$(wc -l <"$work/kinds")" = 1
 grep -Pq "^ *$frames ip:tcp:diameter\t*$" "$work/kinds"
-# Shown to be able to fail: with the length of one AVP spoilt, it complains.
+# Checks that the test can fail: with the length of one AVP corrupted, tshark must report an error.
 printf '\003' | dd of="$work/all.pcap" bs=1 seek=$((24 + 16 + 40 + 20 + 7)) conv=notrunc status=none
 spoilt=$("${as[@]}" env HOME="$work" WIRESHARK_DATA_DIR="$work/data" tshark -n -r "$work/all.pcap" -c 1 \
   -d tcp.port==20000-32000,diameter -T fields -e _ws.malformed -e _ws.expert.message 2>/dev/null)
--- a/tests/lab/mutate_test.cpp
+++ b/tests/lab/mutate_test.cpp
@@ -1,4 +1,4 @@
-// The list of mutations fits the source that it is for: each text to be taken out stands there once.
+// Checks that tests/mutations.yaml fits the source: each text to be replaced occurs exactly once in its file.
 #include "lab/mutate.hpp"
 
 #include <gtest/gtest.h>
@@ -12,19 +12,19 @@
 namespace mintrock::lab {
 namespace {
 
-TEST(Mutations, AChangeTakesExactlyOnePlace) {
+TEST(Mutations, AChangeAppliesToExactlyOnePlace) {
   EXPECT_EQ(apply_change("a b c", {"", "b", "x"}), "a x c");
   EXPECT_THROW(apply_change("a b c", {"", "d", "x"}), std::runtime_error);
   EXPECT_THROW(apply_change("a b b", {"", "b", "x"}), std::runtime_error);
   EXPECT_THROW(apply_change("a b b", {"", "", "x"}), std::runtime_error);
 }
 
-TEST(Mutations, TheListFitsTheSource) {
+TEST(Mutations, TheListMatchesTheSource) {
   const std::string root = MINTROCK_SOURCE_DIR;
-  const std::vector<Mutation> all = load_mutations(root + "/tests/mutations.yaml");
+  const std::vector<Mutation> mutations = load_mutations(root + "/tests/mutations.yaml");
   std::set<std::string> names, rules;
-  for (const Mutation& m : all) {
-    EXPECT_TRUE(names.insert(m.name).second) << m.name << " stands twice";
+  for (const Mutation& m : mutations) {
+    EXPECT_TRUE(names.insert(m.name).second) << m.name << " is listed twice";
     if (!m.rule.empty() && !m.expect_undetected) rules.insert(m.rule);
     if (!m.scenario.empty()) {
       EXPECT_TRUE(std::ifstream(root + "/" + m.scenario)) << m.scenario;
