--- a/src/lab/bench.hpp
+++ b/src/lab/bench.hpp
@@ -13,8 +13,8 @@
   std::string edge_program;
   double seconds = 3;  // length of each measurement
   std::uint32_t rounds = 3;
-  double paired_rate =
-      0;  // calls per second of the paired measurement; 0: a quarter of the proxy's highest rate
+  // Calls per second of the paired measurement; 0: a quarter of the proxy's highest rate.
+  double paired_rate = 0;
   std::uint32_t outstanding = 64;  // calls in flight while the highest rate is measured
   std::string report_file;         // JSON; empty: none
 };
--- a/src/lab/checker.cpp
+++ b/src/lab/checker.cpp
@@ -25,6 +25,7 @@
 constexpr double kServiceWindow = 5;    // s per window of served_share_per_window
 constexpr std::size_t kMaxExamples = 5;
 
+// One set-up request of a caller. A call consists of its first try and its redials.
 struct Try {
   std::string session;
   std::uint64_t connection = 0;
@@ -38,6 +39,7 @@
   double closed = kNever;  // when the connection closed before the answer
 };
 
+// One set-up sent by a proxy to a core server for a try.
 struct Attempt {
   std::string core;
   std::string proxy;
@@ -51,6 +53,7 @@
   double ended() const { return std::min({answered, released, closed}); }
 };
 
+// The latest change of a core server's state that the pool list sent to a proxy.
 struct ListNotice {
   double at = 0;
   bool ready = false;
@@ -358,7 +361,7 @@
     std::map<std::uint32_t, const Scenario::Class*> classes;
     for (const auto& each : scenario_.classes) classes[each.service_identifier] = &each;
     struct Call {
-      double first = kNever;
+      double first_try = kNever;
       std::uint32_t service = 0;
       bool served = false;
     };
@@ -366,11 +369,11 @@
     std::vector<double> delays;
     for (const auto& [session, each] : tries_) {
       Call& call = calls[call_of(session)];
-      call.first = std::min(call.first, each.sent);
+      call.first_try = std::min(call.first_try, each.sent);
       call.service = each.service;
     }
     double run_start = kNever;
-    for (const auto& [name, call] : calls) run_start = std::min(run_start, call.first);
+    for (const auto& [name, call] : calls) run_start = std::min(run_start, call.first_try);
     for (const auto& [session, each] : tries_) {
       const auto known = classes.find(each.service);
       if (known == classes.end()) continue;
@@ -386,7 +389,8 @@
         counts.established += 1;
         counts.cut += each.cut < kNever;
         delays.push_back(each.answered - each.sent);
-        if (each.cut == kNever && each.answered - call.first <= known->second->told.aim_s) call.served = true;
+        if (each.cut == kNever && each.answered - call.first_try <= known->second->told.aim_s)
+          call.served = true;
       } else if (each.result == diameter::kTooBusy) {
         counts.refused += 1;
       } else {
@@ -398,7 +402,7 @@
       const auto known = classes.find(call.service);
       if (known == classes.end()) continue;
       const double value = known->second->told.value;
-      const auto window = static_cast<std::size_t>((call.first - run_start) / kServiceWindow);
+      const auto window = static_cast<std::size_t>((call.first_try - run_start) / kServiceWindow);
       if (offered_value.size() <= window) {
         offered_value.resize(window + 1);
         served_value.resize(window + 1);
@@ -443,8 +447,7 @@
     }
   }
 
-  // Summarizes the run second by second. Tries count where they were sent, calls where their first try was
-  // sent.
+  // Summarizes the run second by second. A call counts in the second of its first try.
   void summarize_seconds(double run_start) {
     std::map<std::uint32_t, const Scenario::Class*> classes;
     for (const auto& each : scenario_.classes) classes[each.service_identifier] = &each;
--- a/src/lab/checker.hpp
+++ b/src/lab/checker.hpp
@@ -42,8 +42,8 @@
   double start_s = 0;  // s since the first try
   std::uint64_t tries = 0, established = 0, refused = 0, failed = 0, unanswered = 0;
   double delay_p50_s = 0, delay_p99_s = 0;  // s, of established tries
-  std::map<std::string, double>
-      served_share;  // by class: calls served in time over calls offered, by their first try
+  // By class: calls served in time over calls offered. A call counts in the second of its first try.
+  std::map<std::string, double> served_share;
 };
 struct InjectedFault {
   double start_s = 0;  // s since the first try
@@ -54,10 +54,10 @@
 struct CheckReport {
   std::vector<RuleResult> rules;
   std::map<std::string, ClassSummary> classes;
-  std::vector<double>
-      served_share_per_window;  // value served in time over value offered, for each 5 s, by the first try
+  // Value served in time over value offered, for each 5 s. A call counts in the window of its first try.
+  std::vector<double> served_share_per_window;
   std::uint64_t tries = 0;
-  std::uint64_t unaccounted = 0;  // tries that never got an answer
+  std::uint64_t unaccounted = 0;  // unanswered tries whose connection was not lost
   std::uint64_t attempts = 0;     // set-ups that reached core servers
   std::uint64_t left_behind = 0;  // sessions still held by a core server at the end, of answered tries
   std::vector<std::string> left_behind_examples;
@@ -74,7 +74,8 @@
   std::string table() const;
 };
 
-// Checks a run while it goes on: takes records in order of time and returns the report at the end.
+// Checks the records of a run while it goes on. Records must be added in order of time; the report is
+// available at the end. See check_traces for `slack_s`.
 class Checker {
  public:
   Checker(const Scenario& scenario, double slack_s);
--- a/src/lab/plot.cpp
+++ b/src/lab/plot.cpp
@@ -18,7 +18,7 @@
   return text;
 }
 
-// Quotes a text for gnuplot; underscores become spaces.
+// Quotes a text for gnuplot: escapes quotes and backslashes, and turns underscores into spaces.
 std::string quoted(const std::string& text) {
   std::string out = "\"";
   for (const char c : text) {
@@ -95,7 +95,7 @@
   out += "set yrange [0:1.02]\n";
   if (!service.empty()) picture("service", "share served in time", service);
   out += "set autoscale y\nset logscale y\n";
-  picture("delay", "ms from try to answer, of those that stood",
+  picture("delay", "ms from try to answer, established tries",
           data + " using 1:7 title 'p50', '' using 1:8 title 'p99'");
   return out;
 }
