--- a/src/lab/main.cpp
+++ b/src/lab/main.cpp
@@ -95,7 +95,7 @@
     std::fputs(out.table().c_str(), stdout);
     if (!report.empty()) std::ofstream(report) << out.json() << "\n";
     if (!plots.empty()) lab::write_plots(out, plots);
-    status = out.good() ? 0 : 1;
+    status = out.passed() ? 0 : 1;
   });
 
   std::string day, output;
@@ -118,10 +118,10 @@
 CLI::App* mutate = app.add_subcommand(
     "mutate", "removes guards from a copy of the source, one at a time, and runs the tests that must fail");
 mutate->add_option("list", mutations.list_file, "the mutations, a YAML file")->required();
-mutate->add_option("--source", mutations.source, "the source folder");
-mutate->add_option("--build", mutations.build, "a folder for the copy and its build")->required();
-mutate->add_option("--only", mutations.only, "only mutations whose name contains this text");
-mutate->add_option("--report", mutations.report, "write the table to this file, as JSON");
+mutate->add_option("--source", mutations.source_dir, "the source folder");
+mutate->add_option("--build", mutations.build_dir, "a folder for the copy and its build")->required();
+mutate->add_option("--only", mutations.name_filter, "only mutations whose name contains this text");
+mutate->add_option("--report", mutations.report_file, "write the table to this file, as JSON");
 mutate->callback([&] { status = lab::run_mutations(mutations); });
 
 lab::BenchOptions bench;
@@ -133,9 +133,9 @@
     ->check(CLI::Range(1, 1000));
 measure->add_option("--outstanding", bench.outstanding, "number of concurrent calls")
     ->check(CLI::Range(1, 100000));
-measure->add_option("--rate", bench.rate, "calls per second in the paired measurement of delays")
+measure->add_option("--rate", bench.paired_rate, "calls per second in the paired measurement of delays")
     ->check(CLI::Range(0.0, 1e6));
-measure->add_option("--report", bench.report, "write the results to this file, as JSON");
+measure->add_option("--report", bench.report_file, "write the results to this file, as JSON");
 measure->callback([&] {
   if (bench.edge_program.empty()) bench.edge_program = path_beside_this_program("mintrock-edge");
   status = lab::run_bench(bench);
@@ -149,7 +149,7 @@
 restart->add_option("--burst", bench.outstanding, "number of concurrent calls")->check(CLI::Range(1, 100000));
 restart->callback([&] {
   if (bench.edge_program.empty()) bench.edge_program = path_beside_this_program("mintrock-edge");
-  status = lab::run_restart(bench);
+  status = lab::run_restart_bench(bench);
 });
 lab::soak::add_command(app, path_beside_this_program("mintrock-edge"), status);
 
--- a/src/lab/plot.cpp
+++ b/src/lab/plot.cpp
@@ -12,13 +12,13 @@
 namespace mintrock::lab {
 namespace {
 
-std::string figure(double value) {
+std::string format_number(double value) {
   char text[32];
   std::snprintf(text, sizeof text, "%.6g", value);
   return text;
 }
 
-// What gnuplot would read as its own within a quoted text.
+// Quotes a text for gnuplot: escapes quotes and backslashes, and turns underscores into spaces.
 std::string quoted(const std::string& text) {
   std::string out = "\"";
   for (const char c : text) {
@@ -30,8 +30,8 @@
 
 std::set<std::string> classes_of(const CheckReport& report) {
   std::set<std::string> out;
-  for (const SecondOfRun& each : report.seconds) {
-    for (const auto& [name, share] : each.served) out.insert(name);
+  for (const SecondSummary& each : report.seconds) {
+    for (const auto& [name, share] : each.served_share) out.insert(name);
   }
   return out;
 }
@@ -43,14 +43,14 @@
   std::string out = "# second tries stood refused failed unanswered p50_ms p99_ms";
   for (const std::string& each : classes) out += " " + quoted(each);
   out += "\n";
-  for (const SecondOfRun& s : report.seconds) {
-    out += figure(s.at);
-    for (const std::uint64_t n : {s.tries, s.stood, s.refused, s.failed, s.unanswered})
+  for (const SecondSummary& s : report.seconds) {
+    out += format_number(s.start_s);
+    for (const std::uint64_t n : {s.tries, s.established, s.refused, s.failed, s.unanswered})
       out += " " + std::to_string(n);
-    out += " " + figure(s.delay_p50 * 1000) + " " + figure(s.delay_p99 * 1000);
+    out += " " + format_number(s.delay_p50_s * 1000) + " " + format_number(s.delay_p99_s * 1000);
     for (const std::string& each : classes) {
-      const auto at = s.served.find(each);
-      out += " " + (at == s.served.end() ? std::string("NaN") : figure(at->second));
+      const auto at = s.served_share.find(each);
+      out += " " + (at == s.served_share.end() ? std::string("NaN") : format_number(at->second));
     }
     out += "\n";
   }
@@ -61,21 +61,22 @@
   std::string out =
       "set terminal svg size 1100,420 noenhanced background rgb 'white'\n"
       "set grid\nset key outside right top\nset xlabel 's'\nset style data lines\n";
-  const double end = report.seconds.empty() ? 1 : report.seconds.back().at + 1;
-  out += "set xrange [0:" + figure(end) + "]\n";
-  // Bands one below the other, so that troubles at one time can be told apart.
+  const double end = report.seconds.empty() ? 1 : report.seconds.back().start_s + 1;
+  out += "set xrange [0:" + format_number(end) + "]\n";
+  // Stacks the bands, so that faults at the same time can be distinguished.
   constexpr int kRows = 8;
   int row = 0;
   int object = 0;
-  for (const FaultOfRun& f : report.faults) {
+  for (const InjectedFault& f : report.faults) {
     const double height = 1.0 / kRows;
     const double top = 1 - height * (row++ % kRows);
     const std::string at = std::to_string(++object);
-    out += "set object " + at + " rectangle from first " + figure(f.at) + ", graph " + figure(top - height) +
-           " to first " + figure(f.at + std::max(f.for_s, end / 400)) + ", graph " + figure(top) +
+    out += "set object " + at + " rectangle from first " + format_number(f.start_s) + ", graph " +
+           format_number(top - height) + " to first " +
+           format_number(f.start_s + std::max(f.duration_s, end / 400)) + ", graph " + format_number(top) +
            " fillcolor rgb '#e08040' fillstyle solid 0.25 noborder behind\n";
-    out += "set label " + at + " " + quoted(f.text) + " at first " + figure(f.at) + ", graph " +
-           figure(top - height / 2) + " font ',8' textcolor rgb '#804010' front\n";
+    out += "set label " + at + " " + quoted(f.description) + " at first " + format_number(f.start_s) +
+           ", graph " + format_number(top - height / 2) + " font ',8' textcolor rgb '#804010' front\n";
   }
   const std::string data = "'" + folder + "/run.dat'";
   const auto picture = [&](const char* name, const char* label, const std::string& plot) {
@@ -94,7 +95,7 @@
   out += "set yrange [0:1.02]\n";
   if (!service.empty()) picture("service", "share served in time", service);
   out += "set autoscale y\nset logscale y\n";
-  picture("delay", "ms from try to answer, of those that stood",
+  picture("delay", "ms from try to answer, established tries",
           data + " using 1:7 title 'p50', '' using 1:8 title 'p99'");
   return out;
 }
--- a/src/lab/progress.cpp
+++ b/src/lab/progress.cpp
@@ -28,17 +28,17 @@
 std::string format_progress_line(const Scenario& scenario, double at, const Checker::Progress& previous,
                                  const Checker::Progress& current) {
   char text[160];
-  const std::uint64_t established = current.stood - previous.stood;
-  const std::uint64_t answered = established + current.other - previous.other;
+  const std::uint64_t established = current.established - previous.established;
+  const std::uint64_t answered = established + current.unsuccessful - previous.unsuccessful;
   std::snprintf(
       text, sizeof text, "%4.0f s  %7llu calls  %5.1f%% set up  ", at,
       static_cast<unsigned long long>(current.tries),
       answered > 0 ? 100.0 * static_cast<double>(established) / static_cast<double>(answered) : 100.0);
   std::string out = text;
-  for (const RuleVerdict& rule : current.rules) {
-    std::snprintf(text, sizeof text, "%s %.0f%% ", short_name(rule.name), rule.worst * 100);
+  for (const RuleResult& rule : current.rules) {
+    std::snprintf(text, sizeof text, "%s %.0f%% ", short_name(rule.name), rule.worst_ratio * 100);
     out += text;
-    if (rule.broken > 0) out += "BROKEN " + std::to_string(rule.broken) + " ";
+    if (rule.violations > 0) out += "BROKEN " + std::to_string(rule.violations) + " ";
   }
   std::string faults;
   for (const Event& event : scenario.events) {
@@ -71,7 +71,7 @@
   next_update_ += is_terminal_ ? kTerminalInterval : kDefaultInterval;
   try {
     for (TraceTail& tail : tails_) {
-      std::vector<v1::Record> part = tail.next();
+      std::vector<v1::Record> part = tail.read_new();
       std::move(part.begin(), part.end(), std::back_inserter(pending_records_));
     }
   } catch (const std::exception& error) {
@@ -82,7 +82,7 @@
   std::stable_sort(pending_records_.begin(), pending_records_.end(),
                    [](const auto& a, const auto& b) { return a.time() < b.time(); });
   auto at = pending_records_.begin();
-  for (; at != pending_records_.end() && at->time() < now - kCheckerLag; ++at) checker_.take(*at);
+  for (; at != pending_records_.end() && at->time() < now - kCheckerLag; ++at) checker_.add_record(*at);
   pending_records_.erase(pending_records_.begin(), at);
   const Checker::Progress progress = checker_.progress();
   const std::string line = format_progress_line(scenario_, now - epoch_, previous_, progress);
--- a/src/lab/run.cpp
+++ b/src/lab/run.cpp
@@ -286,7 +286,7 @@
     std::ofstream(options.report_file) << report.json() << "\n";
   }
   if (!options.plot_dir.empty()) write_plots(report, options.plot_dir);
-  const bool good = ended_cleanly && report.good();
+  const bool good = ended_cleanly && report.passed();
   if (temporary && good) {
     fs::remove_all(dir);
   } else {
