--- a/src/lab/bench.cpp
+++ b/src/lab/bench.cpp
@@ -56,13 +56,13 @@
 
   Generator(net::Loop& loop, std::uint16_t port, std::string name) : loop_(loop), name_(std::move(name)) {
     TracedConnection::Handlers handlers;
-    handlers.on_open = [this] { line_->send(make_cer(name_, 1, 1)); };
+    handlers.on_open = [this] { connection_->send(make_cer(name_, 1, 1)); };
     handlers.on_message = [this](const MessageView& view) { on_message(view); };
-    handlers.on_closed = [this](const std::string& why) {
-      std::fprintf(stderr, "mintrock-lab: measured connection closed: %s\n", why.c_str());
+    handlers.on_closed = [this](const std::string& reason) {
+      std::fprintf(stderr, "mintrock-lab: measured connection closed: %s\n", reason.c_str());
       loop_.stop();
     };
-    line_ =
+    connection_ =
         std::make_unique<TracedConnection>(loop_, net::Stream::connect(loop_, {0x7F000001, port}, 64 << 20),
                                            trace_, name_, 1, std::move(handlers));
     loop_.run();
@@ -167,7 +167,7 @@
     std::string session = name_ + ";" + std::to_string(++last_call_);
     const std::string frame = request(session, diameter::kInitial);
     in_flight_.emplace(std::move(session), InFlight{sent, index});
-    line_->send(frame);
+    connection_->send(frame);
   }
 
   void on_message(const MessageView& view) {
@@ -177,7 +177,7 @@
     }
     if (view.header.request()) {
       if (view.header.command == diameter::kDeviceWatchdog) {
-        line_->send(make_base_answer(view, name_, 1));
+        connection_->send(make_base_answer(view, name_, 1));
       }
       return;
     }
@@ -192,7 +192,7 @@
         result_.delays.push_back(now - found->second.sent);
       if (found->second.index < delay_by_index_.size())
         delay_by_index_[found->second.index] = now - found->second.sent;
-      line_->send(request(session, diameter::kTermination));
+      connection_->send(request(session, diameter::kTermination));
     } else {
       result_.refused += found->second.sent >= measure_from_;
     }
@@ -203,7 +203,7 @@
   net::Loop& loop_;
   TraceWriter trace_{""};
   std::string name_;
-  std::unique_ptr<TracedConnection> line_;
+  std::unique_ptr<TracedConnection> connection_;
   bool ready_ = false;
   bool closed_loop_ = false;
   double measure_from_ = 0;  // results count from this time on
@@ -244,22 +244,22 @@
 int run_bench_core(std::uint16_t port) {
   net::Loop loop;
   TraceWriter trace("");
-  std::map<std::uint64_t, std::unique_ptr<TracedConnection>> lines;
-  std::uint64_t last = 0;
+  std::map<std::uint64_t, std::unique_ptr<TracedConnection>> connections;
+  std::uint64_t last_connection_id = 0;
   diameter::LocalNode local;
   local.host = kCore;
   local.realm = kRealm;
   net::Listener listener(loop, {0x7F000001, port}, [&](int fd, net::Address from) {
-    const std::uint64_t id = ++last;
+    const std::uint64_t id = ++last_connection_id;
     TracedConnection::Handlers handlers;
     handlers.on_message = [&, id](const MessageView& view) {
       if (!view.header.request()) return;
       const bool cer = view.header.command == diameter::kCapabilitiesExchange;
-      lines.at(id)->send(cer ? make_base_answer(view, kCore, 1) : edge::write_success(view, local));
+      connections.at(id)->send(cer ? make_base_answer(view, kCore, 1) : edge::write_success(view, local));
     };
-    handlers.on_closed = [&, id](const std::string&) { loop.defer([&, id] { lines.erase(id); }); };
-    lines[id] = std::make_unique<TracedConnection>(loop, net::Stream::adopt(loop, fd, from, 64 << 20), trace,
-                                                   kCore, id, std::move(handlers));
+    handlers.on_closed = [&, id](const std::string&) { loop.defer([&, id] { connections.erase(id); }); };
+    connections[id] = std::make_unique<TracedConnection>(loop, net::Stream::adopt(loop, fd, from, 64 << 20),
+                                                         trace, kCore, id, std::move(handlers));
   });
   loop.on_signal(SIGTERM, [&] { loop.stop(); });
   loop.run();
@@ -278,7 +278,7 @@
   };
   std::map<std::uint64_t, std::unique_ptr<TracedConnection>> callers;
   std::unordered_map<std::uint32_t, Route> routes;
-  std::uint64_t last = 0;
+  std::uint64_t last_connection_id = 0;
   std::uint32_t last_hop_by_hop = 0;
   const auto frame_of = [](const MessageView& view) {
     return std::string(view.avps.front().encoded.data() - diameter::kHeaderSize, view.header.length);
@@ -298,11 +298,11 @@
     routes.erase(route);
   };
   from_core.on_closed = [&](const std::string&) { loop.stop(); };
-  core = std::make_unique<TracedConnection>(loop, net::Stream::connect(loop, {0x7F000001, core_port}, 64 << 20),
-                                            trace,
-                                "relay", 0, std::move(from_core));
+  core =
+      std::make_unique<TracedConnection>(loop, net::Stream::connect(loop, {0x7F000001, core_port}, 64 << 20),
+                                         trace, "relay", 0, std::move(from_core));
   net::Listener listener(loop, {0x7F000001, port}, [&](int fd, net::Address from) {
-    const std::uint64_t id = ++last;
+    const std::uint64_t id = ++last_connection_id;
     TracedConnection::Handlers handlers;
     handlers.on_message = [&, id](const MessageView& view) {
       if (!view.header.request()) return;
@@ -327,9 +327,9 @@
   const std::string dir = make_temporary_folder("mintrock-restart");
   PortFinder ports;
   const std::uint16_t core = ports.next(), unused_port = ports.next();
-  mintrock::list::Update news;
-  news.entries = {{kCore, "127.0.0.1:" + std::to_string(core)}};
-  std::ofstream(dir + "/list.json") << mintrock::list::print_update(news);
+  mintrock::list::Update update;
+  update.entries = {{kCore, "127.0.0.1:" + std::to_string(core)}};
+  std::ofstream(dir + "/list.json") << mintrock::list::print_update(update);
   ChildProcesses children;
   children.spawn({"/proc/self/exe", "bench-core", "--port", std::to_string(core)});
   wait_for_port(core);
@@ -368,9 +368,9 @@
   PortFinder ports;
   const std::uint16_t core = ports.next(), relay = ports.next(), edge = ports.next(), admin = ports.next(),
                       unused_port = ports.next();
-  mintrock::list::Update news;
-  news.entries = {{kCore, "127.0.0.1:" + std::to_string(core)}};
-  std::ofstream(dir + "/list.json") << mintrock::list::print_update(news);
+  mintrock::list::Update update;
+  update.entries = {{kCore, "127.0.0.1:" + std::to_string(core)}};
+  std::ofstream(dir + "/list.json") << mintrock::list::print_update(update);
   std::ofstream(dir + "/edge.yaml") << edge_config(edge, admin, unused_port, dir);
   ChildProcesses children;
   children.spawn({"/proc/self/exe", "bench-core", "--port", std::to_string(core)});
--- a/src/lab/bench.hpp
+++ b/src/lab/bench.hpp
@@ -1,6 +1,6 @@
-// Measures what the proxy costs: calls per second through one proxy at one core server and the delay that it
-// adds. The same load runs in turns, within one run, through a bare relay (same event loop and framing,
-// passes frames on by session, makes no decisions) and directly to the core server.
+// Measures the overhead of the proxy: calls per second through one proxy at one core server, and the delay
+// that it adds. The same load runs in turns, within one run, through a bare relay (same event loop and
+// framing, passes frames on by session, makes no decisions) and directly to the core server.
 #ifndef MINTROCK_SRC_LAB_BENCH_HPP_
 #define MINTROCK_SRC_LAB_BENCH_HPP_
 
@@ -19,8 +19,8 @@
   std::string report_file;         // JSON; empty: none
 };
 int run_bench(const BenchOptions& options);
-// Measures what a freshly started proxy refuses in front of an idle, fast core server: at 200, 1,000 and
-// 5,000 calls per second, each with and without an initial burst of `outstanding` calls.
+// Measures how many calls a freshly started proxy refuses in front of an idle, fast core server: at 200,
+// 1,000 and 5,000 calls per second, each with and without an initial burst of `outstanding` calls.
 int run_restart_bench(const BenchOptions& options);
 
 // The core server and the relay of the benchmark, each run as a separate process.
--- a/src/lab/call.cpp
+++ b/src/lab/call.cpp
@@ -51,7 +51,7 @@
   std::mt19937_64 random;
   std::vector<std::unique_ptr<Caller>> callers;
   std::size_t open_calls = 0;  // tries in flight and established calls
-  std::uint32_t intents = 0;   // calls placed so far, redials not counted
+  std::uint32_t intents = 0;   // call intents created so far, redials not counted
   bool run_ending = false;
 };
 
--- a/src/lab/checker.cpp
+++ b/src/lab/checker.cpp
@@ -53,7 +53,7 @@
   double ended() const { return std::min({answered, released, closed}); }
 };
 
-// The latest change of a core server's state that the pool list sent to a proxy.
+// The latest change of a core server's state that the server list sent to a proxy.
 struct ListNotice {
   double at = 0;
   bool ready = false;
@@ -77,8 +77,8 @@
     return report_;
   }
 
-  Progress progress() const {
-    Progress out;
+  Snapshot snapshot() const {
+    Snapshot out;
     out.tries = tries_.size();
     out.established = established_;
     out.unsuccessful = unsuccessful_;
@@ -104,17 +104,17 @@
  private:
   enum Rule { kOneAnswer, kOneAttempt, kDrainsKept, kColdBudget, kReleaseAwaited };
 
-  void record_violation(Rule rule, const std::string& what) {
+  void record_violation(Rule rule, const std::string& description) {
     RuleResult& result = rules_[rule];
     result.violations += 1;
-    if (result.examples.size() < kMaxExamples) result.examples.push_back(what);
+    if (result.examples.size() < kMaxExamples) result.examples.push_back(description);
   }
-  void record_margin(Rule rule, double of_limit, const std::string& what) {
+  void record_margin(Rule rule, double ratio, const std::string& detail) {
     RuleResult& result = rules_[rule];
     result.checked += 1;
-    if (of_limit > result.worst_ratio || result.worst_detail.empty()) {
-      result.worst_ratio = of_limit;
-      result.worst_detail = what;
+    if (ratio > result.worst_ratio || result.worst_detail.empty()) {
+      result.worst_ratio = ratio;
+      result.worst_detail = detail;
     }
   }
 
@@ -236,13 +236,13 @@
   }
 
   void on_list(const v1::Record& record) {
-    list::Update news;
+    list::Update update;
     try {
-      news = list::parse_update(record.text());
+      update = list::parse_update(record.text());
     } catch (const std::exception&) {
       return;
     }
-    for (const list::Entry& entry : news.entries) {
+    for (const list::Entry& entry : update.entries) {
       ListNotice& notice = list_notices_[{record.with(), entry.identity}];
       const bool ready = entry.state == ServerEntry::State::kReady;
       if (notice.at > 0 && !ready && !notice.ready) continue;  // a repeated notice; the first one counts
@@ -375,9 +375,9 @@
     double run_start = kNever;
     for (const auto& [name, call] : calls) run_start = std::min(run_start, call.first_try);
     for (const auto& [session, each] : tries_) {
-      const auto known = classes.find(each.service);
-      if (known == classes.end()) continue;
-      ClassSummary& counts = report_.classes[known->second->name];
+      const auto call_class = classes.find(each.service);
+      if (call_class == classes.end()) continue;
+      ClassSummary& counts = report_.classes[call_class->second->name];
       counts.tries += 1;
       report_.tries += 1;
       Call& call = calls[call_of(session)];
@@ -389,7 +389,7 @@
         counts.established += 1;
         counts.cut += each.cut < kNever;
         delays.push_back(each.answered - each.sent);
-        if (each.cut == kNever && each.answered - call.first_try <= known->second->settings.target_s)
+        if (each.cut == kNever && each.answered - call.first_try <= call_class->second->settings.target_s)
           call.served = true;
       } else if (each.result == diameter::kTooBusy) {
         counts.refused += 1;
@@ -399,9 +399,9 @@
     }
     std::vector<double> offered_value, served_value;
     for (const auto& [name, call] : calls) {
-      const auto known = classes.find(call.service);
-      if (known == classes.end()) continue;
-      const double value = known->second->settings.value;
+      const auto call_class = classes.find(call.service);
+      if (call_class == classes.end()) continue;
+      const double value = call_class->second->settings.value;
       const auto window = static_cast<std::size_t>((call.first_try - run_start) / kServiceWindow);
       if (offered_value.size() <= window) {
         offered_value.resize(window + 1);
@@ -409,7 +409,7 @@
       }
       offered_value[window] += value;
       served_value[window] += call.served ? value : 0;
-      ClassSummary& counts = report_.classes[known->second->name];
+      ClassSummary& counts = report_.classes[call_class->second->name];
       counts.offered += 1;
       counts.served_share += call.served;
     }
@@ -425,13 +425,14 @@
       report_.delay_p50_s = delays[delays.size() / 2];
       report_.delay_p99_s = delays[delays.size() * 99 / 100];
     }
-    std::vector<double> orphans;
+    std::vector<double> orphan_hold_times;
     for (const auto& [session, attempts] : attempts_) {
       for (const Attempt& each : attempts) {
         if (each.result / 1000 != 2) continue;
-        const auto known = tries_.find(session);
-        const bool caller_answered = known != tries_.end() && known->second.answers > 0;
-        if (each.released < kNever && !caller_answered) orphans.push_back(each.released - each.answered);
+        const auto its_try = tries_.find(session);
+        const bool caller_answered = its_try != tries_.end() && its_try->second.answers > 0;
+        if (each.released < kNever && !caller_answered)
+          orphan_hold_times.push_back(each.released - each.answered);
         if (each.released < kNever || each.session_lost < kNever) continue;
         (caller_answered ? report_.left_behind : report_.orphaned) += 1;
         if (caller_answered && report_.left_behind_examples.size() < kMaxExamples) {
@@ -439,11 +440,11 @@
         }
       }
     }
-    std::sort(orphans.begin(), orphans.end());
-    report_.orphans_released = orphans.size();
-    if (!orphans.empty()) {
-      report_.orphan_hold_p50_s = orphans[orphans.size() / 2];
-      report_.orphan_hold_max_s = orphans.back();
+    std::sort(orphan_hold_times.begin(), orphan_hold_times.end());
+    report_.orphans_released = orphan_hold_times.size();
+    if (!orphan_hold_times.empty()) {
+      report_.orphan_hold_p50_s = orphan_hold_times[orphan_hold_times.size() / 2];
+      report_.orphan_hold_max_s = orphan_hold_times.back();
     }
   }
 
@@ -462,8 +463,8 @@
       const std::string call = call_of(session);
       auto& [first, served] = calls.try_emplace(call, kNever, false).first->second;
       first = std::min(first, each.sent);
-      const auto known = classes.find(each.service);
-      if (known != classes.end()) class_of_call[call] = known->second->name;
+      const auto call_class = classes.find(each.service);
+      if (call_class != classes.end()) class_of_call[call] = call_class->second->name;
     }
     const auto second_of = [&](double time) {
       const auto second = static_cast<std::size_t>(std::max(0.0, time - run_start));
@@ -482,10 +483,10 @@
       } else if (each.result / 1000 == 2) {
         s.established += 1;
         details[second].delays.push_back(each.answered - each.sent);
-        const auto known = classes.find(each.service);
+        const auto call_class = classes.find(each.service);
         auto& [first, served] = calls.at(call_of(session));
-        served |= known != classes.end() && each.cut == kNever &&
-                  each.answered - first <= known->second->settings.target_s;
+        served |= call_class != classes.end() && each.cut == kNever &&
+                  each.answered - first <= call_class->second->settings.target_s;
       } else {
         (each.result == diameter::kTooBusy ? s.refused : s.failed) += 1;
       }
@@ -526,7 +527,7 @@
     : impl_(std::make_unique<Impl>(scenario, slack_s)) {}
 Checker::~Checker() = default;
 void Checker::add_record(const v1::Record& record) { impl_->add_record(record); }
-Checker::Progress Checker::progress() const { return impl_->progress(); }
+Checker::Snapshot Checker::snapshot() const { return impl_->snapshot(); }
 CheckReport Checker::finish() { return impl_->finish(); }
 
 bool CheckReport::passed() const {
--- a/src/lab/checker.hpp
+++ b/src/lab/checker.hpp
@@ -1,5 +1,5 @@
-// Checks the five rules from the traces of a run alone: from what passed the sockets of the simulated callers
-// and core servers, never from what a proxy reports about itself.
+// Checks the five rules from the traces of a run alone: from what passed through the sockets of the simulated
+// callers and core servers, never from what a proxy reports about itself.
 //
 // Pure: takes records and returns a report, does no I/O and reads no clock.
 #ifndef MINTROCK_SRC_LAB_CHECKER_HPP_
@@ -83,13 +83,14 @@
   Checker(const Checker&) = delete;
   void add_record(const v1::Record& record);
 
-  struct Progress {
+  // The results so far.
+  struct Snapshot {
     std::uint64_t tries = 0;
     std::uint64_t established = 0;
     std::uint64_t unsuccessful = 0;  // refused or failed
-    std::vector<RuleResult> rules;   // as known so far
+    std::vector<RuleResult> rules;
   };
-  Progress progress() const;
+  Snapshot snapshot() const;
   CheckReport finish();
 
  private:
--- a/src/lab/core.cpp
+++ b/src/lab/core.cpp
@@ -100,7 +100,7 @@
           connection->send(answer.finish());
         }
         return;
-      case Event::Kind::kDrain:  // the pool list announces the drain; the server stops at its end
+      case Event::Kind::kDrain:  // the server list announces the drain; the server stops when it is over
         return undo_later([this] {
           stop_gracefully();
           start(true);
--- a/src/lab/import_day.cpp
+++ b/src/lab/import_day.cpp
@@ -57,14 +57,14 @@
 
   std::string scenario() {
     length_ = std::min(600.0, require_number(day_, "length") * kMicrosecond);
-    for (const json& trouble : require_member(day_, "troubles")) add_fault(trouble);
+    for (const json& fault : require_member(day_, "troubles")) add_fault(fault);
     const json& clients = require_member(day_, "clients");
     const json& allow = require_member(day_, "allow");
-    const json& fam = require_member(day_, "fam");
+    const json& server_group = require_member(day_, "fam");
     const json& kind = require_member(day_, "tiers").at(0).at("kinds").at(0);
     // Each of the scenario's servers gets the mean capacity of the day's servers.
     const double server_capacity =
-        require_number(fam, "capacity") / std::max<double>(1, require_number(fam, "n"));
+        require_number(server_group, "capacity") / std::max<double>(1, require_number(server_group, "n"));
     const double work = 1 / server_capacity;
     const double rate = require_number(require_member(day_, "traffic"), "load") * server_capacity * cores_;
     double deadline = 0;
@@ -86,8 +86,8 @@
         "}\n";
     out += "processor: {setup_work: " + format_seconds(work * (1 - kReleaseShare)) +
            ", release_work: " + format_seconds(work * kReleaseShare) +
-           ", full_after: " + format_seconds(require_number(fam, "queue") * kMicrosecond) + "}\n";
-    out += "rules: {release_wait: " + format_seconds(require_number(fam, "release") * kMicrosecond) +
+           ", full_after: " + format_seconds(require_number(server_group, "queue") * kMicrosecond) + "}\n";
+    out += "rules: {release_wait: " + format_seconds(require_number(server_group, "release") * kMicrosecond) +
            ", start_capacity: " + format_number(require_number(kind, "cold_from")) +
            ", warm_up: " + format_seconds(require_number(kind, "cold") * kMicrosecond) +
            ", overload_factor: " + format_number(require_number(day_, "fall_multiple")) +
@@ -102,7 +102,7 @@
            "\nclasses:\n";
     std::uint32_t service = 0;
     for (const json& c : require_member(day_, "classes")) {
-      const double hold = require_number_at(require_member(fam, "hold"), service) * kMicrosecond;
+      const double hold = require_number_at(require_member(server_group, "hold"), service) * kMicrosecond;
       const std::string effect = c.value("effect", "safe");
       out += "  - {name: " + json(c.value("name", "class")).dump() +
              ", service_identifier: " + std::to_string(++service) +
@@ -133,50 +133,50 @@
   std::string core(std::size_t server) const { return ", core: " + std::to_string(server % cores_); }
 
   // The servers that a fault concerns, as numbers in the scenario, without duplicates.
-  std::vector<std::size_t> servers(const json& trouble) const {
+  std::vector<std::size_t> servers(const json& fault) const {
     std::vector<std::size_t> out;
-    for (const json& each : require_member(trouble, "on")) {
+    for (const json& each : require_member(fault, "on")) {
       const std::size_t server = each.get<std::size_t>() % cores_;
       if (std::find(out.begin(), out.end(), server) == out.end()) out.push_back(server);
     }
-    // Scaled down, a fault of some of many servers must not become one of all, unless it was one of all.
-    const double share = static_cast<double>(require_member(trouble, "on").size()) /
+    // When scaled down, a fault of only some of the servers must not become a fault of all of them.
+    const double share = static_cast<double>(require_member(fault, "on").size()) /
                          require_number(require_member(day_, "fam"), "n");
     const auto max_servers = static_cast<std::size_t>(std::max(1.0, std::round(share * cores_)));
     if (out.size() > max_servers) out.resize(max_servers);
     return out;
   }
 
-  void add_fault(const json& trouble) {
-    const std::string kind = require_member(trouble, "kind").get<std::string>();
-    const double at = require_number(trouble, "at") * kMicrosecond;
-    const double len = require_number(trouble, "len") * kMicrosecond;
-    const double size = require_number(trouble, "size");
-    const double extra = require_number(trouble, "extra");
+  void add_fault(const json& fault) {
+    const std::string kind = require_member(fault, "kind").get<std::string>();
+    const double at = require_number(fault, "at") * kMicrosecond;
+    const double len = require_number(fault, "len") * kMicrosecond;
+    const double size = require_number(fault, "size");
+    const double extra = require_number(fault, "extra");
     const std::string duration = ", for: " + format_seconds(len);
     if (kind == "burst") {
       add_event(at, "surge", ", factor: " + format_number(size) + duration);
     } else if (kind == "slow" || kind == "shared_slow") {
-      for (const auto server : servers(trouble))
+      for (const auto server : servers(fault))
         add_event(at, "slow", core(server) + ", factor: " + format_number(size) + duration);
     } else if (kind == "hang") {
-      for (const auto server : servers(trouble)) add_event(at, "swallow", core(server) + duration);
+      for (const auto server : servers(fault)) add_event(at, "swallow", core(server) + duration);
     } else if (kind == "crash" || kind == "mass_restart") {
-      for (const auto server : servers(trouble)) add_event(at, "crash", core(server) + duration);
+      for (const auto server : servers(fault)) add_event(at, "crash", core(server) + duration);
     } else if (kind == "answer_lost") {
-      for (const auto server : servers(trouble)) {
+      for (const auto server : servers(fault)) {
         add_event(at, "lose_answers",
                   core(server) + ", share: " + format_number(std::min(1.0, size)) + duration);
       }
     } else if (kind == "pauses") {
-      for (const auto server : servers(trouble)) {
+      for (const auto server : servers(fault)) {
         for (double t = at; t < at + len; t += std::max(0.5, extra)) {
           add_event(t, "pause", core(server) + ", for: " + format_seconds(size / 1000));
         }
       }
     } else if (kind == "ageing") {  // slows down in steps, crashes, and comes back cold
       constexpr int kSteps = 4;
-      for (const auto server : servers(trouble)) {
+      for (const auto server : servers(fault)) {
         for (int i = 0; i < kSteps; ++i) {
           add_event(at + len * i / kSteps, "slow",
                     core(server) + ", factor: " + format_number(1 + (size - 1) * (i + 1) / kSteps) +
@@ -186,7 +186,7 @@
       }
     } else if (kind == "deploy") {
       std::size_t last = cores_;
-      for (const json& step : require_member(trouble, "steps")) {
+      for (const json& step : require_member(fault, "steps")) {
         for (const json& stopped : require_member(step, "stop")) {
           const std::size_t server = stopped.get<std::size_t>() % cores_;
           if (server == last) continue;
@@ -200,7 +200,7 @@
       const double share =
           static_cast<double>(proxies_) / static_cast<double>(require_member(day_, "balancers").size());
       double pending_restarts = 0;
-      for (const json& step : require_member(trouble, "steps")) {
+      for (const json& step : require_member(fault, "steps")) {
         pending_restarts += share * static_cast<double>(require_member(step, "stop").size());
         for (; pending_restarts >= 0.5 && next < proxies_; pending_restarts -= 1, ++next) {
           add_event(require_number(step, "at") * kMicrosecond, "kill_proxy",
--- a/src/lab/list.cpp
+++ b/src/lab/list.cpp
@@ -1,5 +1,5 @@
-// Stand-in of the pool list: Server-Sent Events over HTTP/1.1. Publishes the changes of the scenario's script
-// with the scenario's delay.
+// Stand-in of the server list: Server-Sent Events over HTTP/1.1. Publishes the changes of the scenario's
+// script with the scenario's delay.
 #include <http_parser.h>
 
 #include <csignal>
@@ -35,7 +35,7 @@
     std::shared_ptr<net::Stream> stream;
     std::string proxy;
     std::string request;
-    bool subscribed = false;  // its request has arrived
+    bool subscribed = false;  // its request has arrived in full
   };
 
   void schedule(const Scenario& scenario, const RunFile& run, const Event& event) {
@@ -52,8 +52,8 @@
       const auto state =
           event.kind == Event::Kind::kCrash ? ServerEntry::State::kGone : ServerEntry::State::kDraining;
       loop_.timers().schedule(published_at, [change, state] { change(state, 0); });
-      loop_.timers().schedule(restored_at,
-                        [change, restarted_wall] { change(ServerEntry::State::kReady, restarted_wall); });
+      loop_.timers().schedule(
+          restored_at, [change, restarted_wall] { change(ServerEntry::State::kReady, restarted_wall); });
     } else if (event.kind == Event::Kind::kListDown) {
       loop_.timers().schedule(run.epoch + event.at_s, [this] {
         listener_.reset();
--- a/src/lab/progress.cpp
+++ b/src/lab/progress.cpp
@@ -25,8 +25,8 @@
 
 }  // namespace
 
-std::string format_progress_line(const Scenario& scenario, double at, const Checker::Progress& previous,
-                                 const Checker::Progress& current) {
+std::string format_progress_line(const Scenario& scenario, double at, const Checker::Snapshot& previous,
+                                 const Checker::Snapshot& current) {
   char text[160];
   const std::uint64_t established = current.established - previous.established;
   const std::uint64_t answered = established + current.unsuccessful - previous.unsuccessful;
@@ -62,7 +62,7 @@
       is_terminal_(isatty(STDOUT_FILENO) == 1),
       checker_(scenario, slack_s) {
   for (const char* each : {"core", "list", "call", "run"}) tails_.emplace_back(dir + "/" + each + ".trace");
-  previous_ = checker_.progress();
+  previous_ = checker_.snapshot();
   next_update_ = epoch_ + (is_terminal_ ? kTerminalInterval : kDefaultInterval);
 }
 
@@ -84,9 +84,9 @@
   auto at = pending_records_.begin();
   for (; at != pending_records_.end() && at->time() < now - kCheckerLag; ++at) checker_.add_record(*at);
   pending_records_.erase(pending_records_.begin(), at);
-  const Checker::Progress progress = checker_.progress();
-  const std::string line = format_progress_line(scenario_, now - epoch_, previous_, progress);
-  previous_ = progress;
+  const Checker::Snapshot current = checker_.snapshot();
+  const std::string line = format_progress_line(scenario_, now - epoch_, previous_, current);
+  previous_ = current;
   std::printf(is_terminal_ ? "\r\x1b[K%s" : "%s\n", line.c_str());
   std::fflush(stdout);
 }
--- a/src/lab/progress.hpp
+++ b/src/lab/progress.hpp
@@ -14,8 +14,8 @@
 
 // Formats one progress line. Pure: does no I/O and reads no clock. `at` is in seconds since the start of the
 // script.
-std::string format_progress_line(const Scenario& scenario, double at, const Checker::Progress& previous,
-                                 const Checker::Progress& current);
+std::string format_progress_line(const Scenario& scenario, double at, const Checker::Snapshot& previous,
+                                 const Checker::Snapshot& current);
 
 class ProgressDisplay {
  public:
@@ -31,7 +31,7 @@
   double epoch_;
   bool is_terminal_;
   Checker checker_;
-  Checker::Progress previous_;
+  Checker::Snapshot previous_;
   std::vector<TraceTail> tails_;
   std::vector<v1::Record> pending_records_;  // too recent: older records may still arrive
   double next_update_ = 0;
--- a/src/lab/run.cpp
+++ b/src/lab/run.cpp
@@ -1,4 +1,4 @@
-// Starts a whole installation with one process per stand-in and proxy, plays the script and checks the rules.
+// Starts a whole installation with one process per stand-in and proxy, runs the script and checks the rules.
 #include <signal.h>
 #include <sys/wait.h>
 #include <unistd.h>
@@ -61,7 +61,8 @@
   static const char* const kEffects[] = {"repeatable", "by_key", "once"};
   for (const auto& each : s.classes) {
     out += "  - {name: " + each.name + ", service_identifier: " + std::to_string(each.service_identifier) +
-           ", aim: " + yaml_time(each.settings.target_s) + ", deadline: " + yaml_time(each.settings.deadline_s) +
+           ", aim: " + yaml_time(each.settings.target_s) +
+           ", deadline: " + yaml_time(each.settings.deadline_s) +
            ", value: " + std::to_string(each.settings.value) +
            ", effect: " + kEffects[static_cast<int>(each.settings.effect)] + "}\n";
   }
@@ -107,7 +108,7 @@
     run_.epoch_wall = net::wall_now() + kStartUpTime;
     save_run_file(run_, dir_);
     if (!options_.quiet)
-      progress_ = std::make_unique<ProgressDisplay>(scenario_, dir_, run_.epoch, options_.slack_s);
+      progress_display_ = std::make_unique<ProgressDisplay>(scenario_, dir_, run_.epoch, options_.slack_s);
     const pid_t list = start_stand_in("list");
     const pid_t core = start_stand_in("core");
     proxies_.resize(scenario_.proxies);
@@ -140,7 +141,7 @@
       step.action();
     }
     bool good = wait_for(call);
-    if (progress_) progress_->finish();
+    if (progress_display_) progress_display_->finish();
     for (std::uint32_t i = 0; i < scenario_.proxies; ++i) {
       if (running_.count(proxies_[i]) != 0) kill(proxies_[i], SIGTERM);
     }
@@ -224,9 +225,9 @@
   }
 
   void update_progress() {
-    if (!progress_) return;
+    if (!progress_display_) return;
     trace_.flush();
-    progress_->update(net::monotonic_now());
+    progress_display_->update(net::monotonic_now());
   }
 
   const RunOptions& options_;
@@ -234,7 +235,7 @@
   Scenario scenario_;
   RunFile run_;
   TraceWriter trace_;
-  std::unique_ptr<ProgressDisplay> progress_;
+  std::unique_ptr<ProgressDisplay> progress_display_;
   std::map<pid_t, std::string> running_;
   std::set<pid_t> killed_on_purpose_;
   std::vector<pid_t> proxies_;
--- a/src/lab/scenario.cpp
+++ b/src/lab/scenario.cpp
@@ -42,7 +42,7 @@
 void read_event(config::Section& section, Scenario& out) {
   Event event;
   std::vector<std::string> names;
-  for (const KindName& known : kKinds) names.emplace_back(known.name);
+  for (const KindName& each : kKinds) names.emplace_back(each.name);
   std::size_t kind = 0;
   section.require("kind");
   section.read_choice("kind", names, kind);
--- a/src/lab/scenario.hpp
+++ b/src/lab/scenario.hpp
@@ -33,7 +33,7 @@
     kKillProxy,   // SIGKILL; the proxy is restarted after `for`
     kTermProxy,   // SIGTERM; the proxy is restarted after `for`
     kCallerLost,  // a caller's connection is reset
-    kListDown     // the pool list server is unreachable
+    kListDown     // the server list is unreachable
   };
   Kind kind = Kind::kSurge;
   double at_s = 0;        // since the start of the script
--- a/src/lab/soak/callers.cpp
+++ b/src/lab/soak/callers.cpp
@@ -21,12 +21,12 @@
 constexpr int kTestPassed = 1;           // as the cause in a test result
 
 std::string setup_bytes(std::uint64_t id, const std::string& service_class, double remaining_s,
-                        const std::string& figures) {
+                        const std::string& attributes) {
   return write_message(CallerMessageType::kSetup, id,
                        {{Parameter::kClass, service_class},
                         {Parameter::kTimeLeft, std::to_string(static_cast<int>(remaining_s * 1000))},
                         {Parameter::kCalledNumber, platform::hex_id(id)},
-                        {Parameter::kAttributes, figures},
+                        {Parameter::kAttributes, attributes},
                         {Parameter::kDescription, "offer"}});
 }
 
@@ -110,7 +110,7 @@
                                      while (connections_.count(id) != 0) {
                                        const auto message = connections_.at(id).message_reader.next();
                                        if (!message) return;
-                              handle_message(id, *message);
+                                       handle_message(id, *message);
                                      }
                                    },
                                    [this, id](const std::string&) { on_closed(id); }});
--- a/src/lab/soak/soak.cpp
+++ b/src/lab/soak/soak.cpp
@@ -62,7 +62,7 @@
   std::size_t pick(std::size_t below) { return random_() % below; }
   void log_step(const std::string& step);
   void run_after(double delay_s, std::function<void()> task) { loop_.after(delay_s, std::move(task)); }
-  json config(Edge& edge, const json& known) const;
+  json config(Edge& edge, const json& server_list) const;
   std::vector<Host> hosts(const Edge& edge) const;
   Host host(const Server& server, std::size_t edge) const;
   void add_server(bool joins_late);
@@ -141,7 +141,7 @@
 
 // ---- Settings and server list ----
 
-json Trial::config(Edge& edge, const json& known) const {
+json Trial::config(Edge& edge, const json& server_list) const {
   json classes = json::array();
   for (const CallClass& each : classes_) {
     classes.push_back({{"name", each.name},
@@ -154,7 +154,7 @@
           {"listen", edge.listen.str()},
           {"seed", "1"},
           {"bus", edge.discovery->address().str()},
-          {"known", known},
+          {"known", server_list},
           {"limits", {{"cores", 1}, {"memory_mb", 64}, {"sockets", kSocketLimit}}},
           {"settings",
            {{"classes", classes},
@@ -243,7 +243,7 @@
   log_step(edge.name + " killed");
   edge.terminating = true;
   edge.process->signal(SIGKILL);
-  edge.callers->edge_stopped(false);  // nobody has to answer for the calls that it held
+  edge.callers->edge_stopped(false);  // a killed proxy need not answer or report anything for its calls
 }
 
 void Trial::reload_edge(std::size_t i, int times) {
--- a/src/lab/stand_ins.hpp
+++ b/src/lab/stand_ins.hpp
@@ -1,5 +1,5 @@
-// The stand-ins of a run: core servers, pool list and callers, each kind in a process of its own. They share
-// only the scenario, the port numbers and the time at which the script starts.
+// The stand-ins of a run: core servers, server list and callers, each kind in a process of its own. They
+// share only the scenario, the port numbers and the time at which the script starts.
 #ifndef MINTROCK_SRC_LAB_STAND_INS_HPP_
 #define MINTROCK_SRC_LAB_STAND_INS_HPP_
 
@@ -41,7 +41,7 @@
   std::string edge_program;
   double slack_s = 0.02;  // see check_traces
 };
-// Starts the stand-ins and the proxies, plays the scenario, checks the rules and returns the exit status.
+// Starts the stand-ins and the proxies, runs the scenario, checks the rules and returns the exit status.
 int run_scenario(const RunOptions& options);
 
 }  // namespace mintrock::lab
--- a/src/lab/traced_connection.cpp
+++ b/src/lab/traced_connection.cpp
@@ -138,13 +138,13 @@
   return answer.finish();
 }
 
-void write_note(TraceWriter& trace, double time, const std::string& who, const std::string& with,
+void write_note(TraceWriter& trace, double time, const std::string& participant, const std::string& peer,
                 const std::string& json) {
   v1::Record out;
   out.set_time(time);
   out.set_kind(v1::Record::NOTE);
-  out.set_who(who);
-  out.set_with(with);
+  out.set_who(participant);
+  out.set_with(peer);
   out.set_text(json);
   trace.write(out);
 }
--- a/src/lab/traced_connection.hpp
+++ b/src/lab/traced_connection.hpp
@@ -66,8 +66,8 @@
 std::string make_base_answer(const diameter::MessageView& request, const std::string& host,
                              std::uint32_t origin_state);
 
-// Writes a NOTE record, a fact about a stand-in in JSON, to the trace.
-void write_note(TraceWriter& trace, double time, const std::string& who, const std::string& with,
+// Writes a NOTE record to the trace: a fact about `participant`, in JSON. `peer` may be empty.
+void write_note(TraceWriter& trace, double time, const std::string& participant, const std::string& peer,
                 const std::string& json);
 
 }  // namespace mintrock::lab
--- a/tests/lab/checker_test.cpp
+++ b/tests/lab/checker_test.cpp
@@ -74,12 +74,12 @@
   void add_note(double time, const std::string& who, const nlohmann::json& text) {
     add(time, v1::Record::NOTE, who, "", false).set_text(text.dump());
   }
-  void add_list(double time, int number, ServerEntry::State state) {
-    list::Update news;
-    news.revision = static_cast<std::uint64_t>(time * 1000);
-    news.full = false;
-    news.entries = {{core_name(static_cast<std::uint32_t>(number)), "127.0.0.1:1", 0, 0, 1, state}};
-    add(time, v1::Record::LIST, "list", "edge-0.lab.test", true).set_text(list::print_update(news));
+  void add_list_update(double time, int number, ServerEntry::State state) {
+    list::Update update;
+    update.revision = static_cast<std::uint64_t>(time * 1000);
+    update.full = false;
+    update.entries = {{core_name(static_cast<std::uint32_t>(number)), "127.0.0.1:1", 0, 0, 1, state}};
+    add(time, v1::Record::LIST, "list", "edge-0.lab.test", true).set_text(list::print_update(update));
   }
   // A call that is established at core 0 and ends normally.
   void add_normal_call(const std::string& session, double at) {
@@ -121,12 +121,12 @@
   s.add_normal_call("dock-0;1;1", 10);
   s.add_caller_frame(20, TestTrace::ccr("dock-0;2;1", 1), true);
   EXPECT_EQ(s.broken_rules(), "one answer");
-  // If its connection was lost, nobody could be notified.
+  // If its connection was lost, the caller could not be notified.
   s.add(21, v1::Record::CLOSED, "dock-0.lab.test", "edge-0.lab.test", false);
   EXPECT_EQ(s.broken_rules(), "");
 }
 
-// Callers close their connections at the end of a run; the checker used to take that as an excuse for a
+// Callers close their connections at the end of a run; the checker once accepted that as the reason for a
 // missing answer.
 TEST(Checker, AConnectionClosedAfterTheCallersPatienceIsNoExcuse) {
   TestTrace s;
@@ -173,7 +173,7 @@
 
 TEST(Checker, DetectsASetupToADrainingServer) {
   TestTrace s;
-  s.add_list(9, 0, ServerEntry::State::kDraining);
+  s.add_list_update(9, 0, ServerEntry::State::kDraining);
   s.add_normal_call("dock-0;1;1", 9.2);
   EXPECT_EQ(s.broken_rules(), "") << "within the grace time";
   s.add_normal_call("dock-0;2;1", 9.3);
@@ -182,11 +182,11 @@
 
 TEST(Checker, ARestartedProxyHasNotReceivedEarlierNotices) {
   TestTrace s;
-  s.add_list(9, 0, ServerEntry::State::kDraining);
+  s.add_list_update(9, 0, ServerEntry::State::kDraining);
   s.add_note(9.5, "edge-0.lab.test", {{"event", "proxy_started"}});
   s.add_normal_call("dock-0;1;1", 9.6);
   EXPECT_EQ(s.broken_rules(), "");
-  s.add_list(11, 0, ServerEntry::State::kDraining);
+  s.add_list_update(11, 0, ServerEntry::State::kDraining);
   s.add_normal_call("dock-0;2;1", 11.3);
   EXPECT_EQ(s.broken_rules(), "drains kept");
 }
--- a/tests/lab/decoder_test.sh
+++ b/tests/lab/decoder_test.sh
@@ -30,6 +30,6 @@
 grep -Pq "^ *$frames ip:tcp:diameter\t*$" "$work/kinds"
 # Checks that the test can fail: with the length of one AVP corrupted, tshark must report an error.
 printf '\003' | dd of="$work/all.pcap" bs=1 seek=$((24 + 16 + 40 + 20 + 7)) conv=notrunc status=none
-spoilt=$("${as[@]}" env HOME="$work" WIRESHARK_DATA_DIR="$work/data" tshark -n -r "$work/all.pcap" -c 1 \
+corrupt_output=$("${as[@]}" env HOME="$work" WIRESHARK_DATA_DIR="$work/data" tshark -n -r "$work/all.pcap" -c 1 \
   -d tcp.port==20000-32000,diameter -T fields -e _ws.malformed -e _ws.expert.message 2>/dev/null)
-test -n "${spoilt//[[:space:]]/}"
+test -n "${corrupt_output//[[:space:]]/}"
--- a/tests/lab/progress_test.cpp
+++ b/tests/lab/progress_test.cpp
@@ -23,7 +23,7 @@
   surge.duration_s = 5;
   surge.factor = 1.5;
   s.events = {swallow, surge};
-  Checker::Progress previous, current;
+  Checker::Snapshot previous, current;
   previous.established = 50;
   current.tries = 200;
   current.established = 80;
--- a/tests/lab/soak/core_server_test.cpp
+++ b/tests/lab/soak/core_server_test.cpp
@@ -76,7 +76,7 @@
     }
   }
 
-  // The violations that are recorded by then if nothing more happens.
+  // The violations that are recorded `seconds` from now if nothing more happens.
   std::vector<std::string> violations_within(double seconds) {
     checker.check(loop.now() + seconds);
     std::vector<std::string> result;
