--- a/src/config/yaml.cpp
+++ b/src/config/yaml.cpp
@@ -181,20 +181,20 @@
   }
 }
 
-void Section::read_section(const char* key, const std::function<void(Section&)>& each) {
+void Section::read_section(const char* key, const std::function<void(Section&)>& visit) {
   Section inner(file_, path_ + key + ".", find_and_mark_known(key));
-  each(inner);
+  visit(inner);
   inner.reject_unknown_keys();
 }
 
-void Section::read_sections(const char* key, const std::function<void(Section&)>& each) {
+void Section::read_sections(const char* key, const std::function<void(Section&)>& visit) {
   const YAML::Node node = find_and_mark_known(key);
   if (!node.IsDefined()) return;
   if (!node.IsSequence()) fail(key, "is not a list");
   std::size_t index = 0;
   for (const YAML::Node& item : node) {
     Section inner(file_, path_ + key + "[" + std::to_string(index++) + "].", item);
-    each(inner);
+    visit(inner);
     inner.reject_unknown_keys();
   }
 }
--- a/src/config/yaml.hpp
+++ b/src/config/yaml.hpp
@@ -37,10 +37,10 @@
   void read_choice(const char* key, const std::vector<std::string>& names, std::size_t& out);
   void read_list(const char* key, std::vector<std::string>& out);
   void read_numbers(const char* key, std::vector<std::uint32_t>& out);
-  // Call `each` with the mapping, or with every mapping of the list, under a key, and then reject its unknown
-  // keys.
-  void read_section(const char* key, const std::function<void(Section&)>& each);
-  void read_sections(const char* key, const std::function<void(Section&)>& each);
+  // Call `visit` with the mapping under a key, or with every mapping of the list there, and then reject its
+  // unknown keys.
+  void read_section(const char* key, const std::function<void(Section&)>& visit);
+  void read_sections(const char* key, const std::function<void(Section&)>& visit);
   // Marks a key as known and returns its node, which the caller reads itself.
   YAML::Node raw_node(const char* key);
 
--- a/src/diameter/dictionary.cpp
+++ b/src/diameter/dictionary.cpp
@@ -232,7 +232,7 @@
       std::vector<AvpView> inner;
       if (split_avps(avp.data, inner)) return avp_fault(kInvalidAvpLength, avp, "a broken group");
       for (const AvpView& each : inner) {
-        if (auto error = check_avp(each, depth + 1)) return error;
+        if (auto fault = check_avp(each, depth + 1)) return fault;
       }
       return std::nullopt;
     }
@@ -243,8 +243,8 @@
 // Returns an encoded AVP with a minimal value. RFC 6733 section 7.5 requires one in Failed-AVP for each
 // missing AVP.
 std::string minimal_avp(const AvpDef& def) {
-  Header none;
-  Builder builder(none);
+  Header header;  // cut off below
+  Builder builder(header);
   switch (def.type) {
     case AvpType::kUnsigned32:
     case AvpType::kEnumerated:
@@ -295,7 +295,7 @@
   }
   if (grammar == nullptr) return std::nullopt;
   for (const AvpView& avp : message.avps) {
-    if (auto error = check_avp(avp, 0)) return error;
+    if (auto fault = check_avp(avp, 0)) return fault;
     const bool answer_only =
         avp.vendor == 0 && (avp.code == avp::kResultCode.code || avp.code == avp::kFailedAvp.code);
     if (answer_only && message.header.request()) return avp_fault(kAvpNotAllowed, avp, "not in a request");
--- a/src/diameter/peer.cpp
+++ b/src/diameter/peer.cpp
@@ -94,8 +94,8 @@
       rng_(seed),
       watchdog_(settings_.watchdog_interval_s, seed ^ 0x9E3779B97F4A7C15u) {
   state_deadline_ = kNever;
-  // Section 3: hop-by-hop ids start at any value; the upper 12 bits of end-to-end ids hold the time. Here
-  // they hold the lower bits of Origin-State-Id, which is the start time.
+  // Section 3: hop-by-hop ids start at any value; the upper 12 bits of end-to-end ids hold the time. This
+  // node uses the lower bits of Origin-State-Id, which is the start time.
   hop_by_hop_ = static_cast<std::uint32_t>(rng_());
   end_to_end_ = local.origin_state_id << 20 | (static_cast<std::uint32_t>(rng_()) & 0xFFFFF);
 }
@@ -117,14 +117,14 @@
 }
 
 void Peer::on_connected(double now) {
-  initiated_ = true;
+  initiated_up_ = true;
   framers_[0] = std::make_unique<Framer>(settings_.max_message_length);
   if (state_ == State::kWaitConnAck) {
     enter(State::kWaitICea, now);
     send_cer();
   } else if (state_ == State::kWaitConnAckElect) {
     send_cer();
-    if (win_election()) {
+    if (wins_election()) {
       close_connection(Connection::kInitiated);
       delegate_.send(Connection::kAccepted, std::exchange(deferred_cea_, {}));
       enter_open(Connection::kAccepted, now);
@@ -163,23 +163,23 @@
   switch (state_) {
     case State::kClosed:
       record_origin_state(cer);
-      accepted_ = true;
+      accepted_up_ = true;
       framers_[1] = std::make_unique<Framer>(settings_.max_message_length);
       delegate_.send(Connection::kAccepted, make_cea(cer));
       enter_open(Connection::kAccepted, now);
       return true;
     case State::kWaitConnAck:
       record_origin_state(cer);
-      accepted_ = true;
+      accepted_up_ = true;
       framers_[1] = std::make_unique<Framer>(settings_.max_message_length);
       deferred_cea_ = make_cea(cer);
       enter(State::kWaitConnAckElect, now);
       return true;
     case State::kWaitICea:
       record_origin_state(cer);
-      accepted_ = true;
+      accepted_up_ = true;
       framers_[1] = std::make_unique<Framer>(settings_.max_message_length);
-      if (win_election()) {
+      if (wins_election()) {
         close_connection(Connection::kInitiated);
         delegate_.send(Connection::kAccepted, make_cea(cer));
         enter_open(Connection::kAccepted, now);
@@ -211,7 +211,7 @@
 }
 
 void Peer::close_connection(Connection connection) {
-  bool& connected = connection == Connection::kInitiated ? initiated_ : accepted_;
+  bool& connected = connection == Connection::kInitiated ? initiated_up_ : accepted_up_;
   if (!connected) return;
   connected = false;
   delegate_.close(connection);
@@ -239,7 +239,7 @@
 
 void Peer::on_closed(Connection connection, double now, const std::string& reason) {
   if (!is_connected(connection)) return;
-  (connection == Connection::kInitiated ? initiated_ : accepted_) = false;
+  (connection == Connection::kInitiated ? initiated_up_ : accepted_up_) = false;
   switch (state_) {
     case State::kWaitICea:
       if (connection == Connection::kInitiated) enter_closed("closed before the CEA", now);
--- a/src/diameter/peer.hpp
+++ b/src/diameter/peer.hpp
@@ -131,10 +131,10 @@
   void send_cer();
   void send_dwr();
   std::string make_cea(const MessageView& cer) const;
-  bool win_election() const { return local_.host > settings_.host; }
+  bool wins_election() const { return local_.host > settings_.host; }
   void close_connection(Connection connection);
   bool is_connected(Connection connection) const {
-    return connection == Connection::kInitiated ? initiated_ : accepted_;
+    return connection == Connection::kInitiated ? initiated_up_ : accepted_up_;
   }
   Framer& framer(Connection connection) { return *framers_[connection == Connection::kInitiated ? 0 : 1]; }
 
@@ -143,8 +143,8 @@
   PeerDelegate& delegate_;
   State state_ = State::kClosed;
   Connection open_connection_ = Connection::kInitiated;  // valid in the open and closing states
-  bool initiated_ = false;                               // whether the initiated connection is up
-  bool accepted_ = false;                                // whether the accepted connection is up
+  bool initiated_up_ = false;
+  bool accepted_up_ = false;
   bool stopped_ = false;  // no connection is initiated or accepted until the next start()
   bool suspect_ = false;
   bool disconnect_agreed_ = false;  // a DPR was sent or received on this connection
--- a/src/membership/async_store.cpp
+++ b/src/membership/async_store.cpp
@@ -9,14 +9,14 @@
 
 Change merge_changes(Change first, Change second) {
   if (second.full) return second;
-  std::set<std::string> named;
-  for (const StoredEntry& each : second.entries) named.insert(each.identity);
-  for (const std::string& each : second.removed) named.insert(each);
+  std::set<std::string> superseded;
+  for (const StoredEntry& each : second.entries) superseded.insert(each.identity);
+  for (const std::string& each : second.removed) superseded.insert(each);
   for (StoredEntry& each : first.entries) {
-    if (named.count(each.identity) == 0) second.entries.push_back(std::move(each));
+    if (superseded.count(each.identity) == 0) second.entries.push_back(std::move(each));
   }
   for (std::string& each : first.removed) {
-    if (named.count(each) == 0) second.removed.push_back(std::move(each));
+    if (superseded.count(each) == 0) second.removed.push_back(std::move(each));
   }
   second.full = first.full;
   return second;
--- a/src/membership/trust.cpp
+++ b/src/membership/trust.cpp
@@ -45,29 +45,29 @@
 
 Age confirmation_age(double confirmed_wall, const ClockReading& stored, const ClockReading& now) {
   constexpr double kMaxClockStep = 5;  // s; a smaller step back of the wall clock is ignored
-  const double before = std::max(0.0, stored.wall - confirmed_wall);
+  const double age_when_stored = std::max(0.0, stored.wall - confirmed_wall);
   if (!stored.boot.empty() && stored.boot == now.boot && now.monotonic >= stored.monotonic) {
-    return {before + now.monotonic - stored.monotonic, false};
+    return {age_when_stored + now.monotonic - stored.monotonic, false};
   }
-  return {before + std::max(0.0, now.wall - stored.wall), now.wall < stored.wall - kMaxClockStep};
+  return {age_when_stored + std::max(0.0, now.wall - stored.wall), now.wall < stored.wall - kMaxClockStep};
 }
 
 Trust assess(const TrustSettings& settings, const Evidence& evidence) {
   const double age = std::isnan(evidence.confirmed_age_s) || evidence.clock_unreliable
                          ? kUnknownAge
                          : std::max(0.0, evidence.confirmed_age_s);
-  double degree = decay(age, settings.half_life_s);
-  if (evidence.source == Source::kPeer) degree *= settings.peer_factor;
+  double score = decay(age, settings.half_life_s);
+  if (evidence.source == Source::kPeer) score *= settings.peer_factor;
   // Answers raise trust toward 1 however old the list is. Their effect decays with the same half-life as a
   // confirmation.
   if (evidence.answers > 0) {
-    const double answer_share = (1 - std::pow(1 - settings.answer_gain, evidence.answers)) *
+    const double answer_trust = (1 - std::pow(1 - settings.answer_gain, evidence.answers)) *
                                 decay(evidence.last_answer_age_s, settings.half_life_s);
-    degree += (1 - degree) * answer_share;
+    score += (1 - score) * answer_trust;
   }
-  degree *= std::pow(settings.refusal_factor, evidence.refusals);
+  score *= std::pow(settings.refusal_factor, evidence.refusals);
   Trust out;
-  out.score = std::clamp(degree, 0.0, 1.0);
+  out.score = std::clamp(score, 0.0, 1.0);
   out.usage = out.score >= settings.normal_threshold        ? Usage::kNormal
               : out.score >= settings.last_resort_threshold ? Usage::kReduced
                                                             : Usage::kLastResort;
--- a/src/net/loop.cpp
+++ b/src/net/loop.cpp
@@ -121,14 +121,14 @@
 void Loop::stop() { ev_break(loop_, EVBREAK_ALL); }
 
 void Loop::on_signal(int signal, std::function<void()> fn) {
-  auto each = std::make_unique<SignalWatch>();
-  each->fn = std::move(fn);
+  auto signal_watch = std::make_unique<SignalWatch>();
+  signal_watch->fn = std::move(fn);
   ev_signal_init(
-      &each->watch, [](struct ev_loop*, ev_signal* w, int) { static_cast<SignalWatch*>(w->data)->fn(); },
-      signal);
-  each->watch.data = each.get();
-  ev_signal_start(loop_, &each->watch);
-  signal_watches_.push_back(std::move(each));
+      &signal_watch->watch,
+      [](struct ev_loop*, ev_signal* w, int) { static_cast<SignalWatch*>(w->data)->fn(); }, signal);
+  signal_watch->watch.data = signal_watch.get();
+  ev_signal_start(loop_, &signal_watch->watch);
+  signal_watches_.push_back(std::move(signal_watch));
   // A signal that arrived before the handler was set may be blocked and pending.
   sigset_t to_unblock;
   sigemptyset(&to_unblock);
@@ -380,8 +380,8 @@
 
 void Stream::reset() {
   if (fd_ < 0) return;
-  const struct linger hard { 1, 0 };
-  setsockopt(fd_, SOL_SOCKET, SO_LINGER, &hard, sizeof hard);
+  const struct linger reset_on_close { 1, 0 };
+  setsockopt(fd_, SOL_SOCKET, SO_LINGER, &reset_on_close, sizeof reset_on_close);
   close();
 }
 
--- a/tests/diameter/peer_test.cpp
+++ b/tests/diameter/peer_test.cpp
@@ -60,7 +60,7 @@
   return result != nullptr ? as_u32(*result).value_or(0) : 0;
 }
 
-// Lets a connect to b, until both peers are open.
+// Connects a to b, until both peers are open.
 void open_pair(TestPeer& a, TestPeer& b, double now) {
   a.peer->start(now);
   a.peer->on_connected(now);
--- a/tests/net/loop_test.cpp
+++ b/tests/net/loop_test.cpp
@@ -110,7 +110,7 @@
 
 TEST(Streams, ReportARefusedConnection) {
   Loop loop;
-  Address unused;  // nobody listens here
+  Address unused;  // an address without a listener
   {
     unused = Listener(loop, Address{}, [](int, Address) {}).local();
   }
@@ -143,18 +143,19 @@
     int ends[2];
     if (socketpair(AF_UNIX, SOCK_STREAM | SOCK_NONBLOCK, 0, ends) != 0) std::abort();
     stream = Stream::adopt(loop, ends[0], Address{}, 1 << 20);
-    other = ends[1];
+    remote_fd = ends[1];
   }
   ~RemoteEnd() { close_remote(); }
   void send(std::string_view bytes) const {
-    ASSERT_EQ(::send(other, bytes.data(), bytes.size(), MSG_NOSIGNAL), static_cast<ssize_t>(bytes.size()));
+    ASSERT_EQ(::send(remote_fd, bytes.data(), bytes.size(), MSG_NOSIGNAL),
+              static_cast<ssize_t>(bytes.size()));
   }
   void close_remote() {
-    if (other >= 0) ::close(other);
-    other = -1;
+    if (remote_fd >= 0) ::close(remote_fd);
+    remote_fd = -1;
   }
   std::shared_ptr<Stream> stream;
-  int other = -1;
+  int remote_fd = -1;
 };
 
 // An answer or a caller's close arrives in the same loop iteration in which a timer is due that it should
@@ -187,7 +188,7 @@
     order += "accepted";
     loop.stop();
   });
-  Listener elsewhere(loop, Address{}, [](int fd, Address) { ::close(fd); });
+  Listener other_listener(loop, Address{}, [](int fd, Address) { ::close(fd); });
   const auto client = Stream::connect(loop, listener.local(), 1 << 10);
   caller.close_remote();
   loop.run();
@@ -223,7 +224,7 @@
   });
   loop.run();
   char buffer[8];
-  EXPECT_EQ(::recv(remote.other, buffer, sizeof buffer, 0), 3);
+  EXPECT_EQ(::recv(remote.remote_fd, buffer, sizeof buffer, 0), 3);
 }
 
 TEST(Listener, AcceptPendingTakesTheWholeBacklog) {
