--- a/src/diameter/peer.cpp
+++ b/src/diameter/peer.cpp
@@ -432,20 +432,20 @@
   delegate_.on_message(view, reopening);
 }
 
-void Peer::handle_base_message(Connection connection, const MessageView& view, double now) {
-  const bool is_request = view.header.request();
-  switch (view.header.command) {
+void Peer::handle_base_message(Connection connection, const MessageView& message, double now) {
+  const bool is_request = message.header.request();
+  switch (message.header.command) {
     case kCapabilitiesExchange:
-      if (!is_request) return handle_cea(view, now);
+      if (!is_request) return handle_cea(message, now);
       if (is_open() && connection == open_connection_) {
-        delegate_.send(connection, make_cea(view));  // the peer updates its capabilities
+        delegate_.send(connection, make_cea(message));  // the peer updates its capabilities
       } else {
         delegate_.on_protocol_error("unexpected CER");
       }
       return;
     case kDeviceWatchdog:
       if (is_request) {
-        Builder dwa(answer_header(view.header, false));
+        Builder dwa(answer_header(message.header, false));
         dwa.u32(avp::kResultCode, kSuccess);
         add_origin(dwa, local_);
         dwa.u32(avp::kOriginStateId, local_.origin_state_id);
@@ -453,8 +453,8 @@
       }
       return;
     case kDisconnectPeer:
-      if (is_request) return handle_dpr(connection, view, now);
-      if (state_ == State::kClosing && view.header.hop_by_hop == pending_request_id_)
+      if (is_request) return handle_dpr(connection, message, now);
+      if (state_ == State::kClosing && message.header.hop_by_hop == pending_request_id_)
         enter_closed("disconnected", now);
       return;
     default:
@@ -462,12 +462,12 @@
   }
 }
 
-void Peer::handle_cea(const MessageView& view, double now) {
+void Peer::handle_cea(const MessageView& message, double now) {
   const bool expected = state_ == State::kWaitICea || state_ == State::kWaitReturns;
-  if (!expected || view.header.hop_by_hop != pending_request_id_)
+  if (!expected || message.header.hop_by_hop != pending_request_id_)
     return delegate_.on_protocol_error("unsolicited CEA");
-  const AvpView* result = view.find(avp::kResultCode.code);
-  const AvpView* host = view.find(avp::kOriginHost.code);
+  const AvpView* result = message.find(avp::kResultCode.code);
+  const AvpView* host = message.find(avp::kOriginHost.code);
   const std::uint32_t code = result != nullptr ? as_u32(*result).value_or(0) : 0;
   if (code / 1000 != 2) {
     delegate_.on_protocol_error("capabilities refused with " + std::to_string(code));
@@ -477,8 +477,8 @@
     delegate_.on_protocol_error("the Origin-Host of the CEA is not " + settings_.host);
     return enter_closed("unexpected Origin-Host in the CEA", now);
   }
-  if (!has_common_application(view)) return enter_closed("no common application", now);
-  record_origin_state(view);
+  if (!has_common_application(message)) return enter_closed("no common application", now);
+  record_origin_state(message);
   if (state_ == State::kWaitReturns) {
     close_connection(Connection::kAccepted);
     deferred_cea_.clear();
@@ -486,13 +486,13 @@
   enter_open(Connection::kInitiated, now);
 }
 
-void Peer::handle_dpr(Connection connection, const MessageView& view, double now) {
-  Builder dpa(answer_header(view.header, false));
+void Peer::handle_dpr(Connection connection, const MessageView& message, double now) {
+  Builder dpa(answer_header(message.header, false));
   dpa.u32(avp::kResultCode, kSuccess);
   add_origin(dpa, local_);
   delegate_.send(connection, dpa.finish());
   if (!is_open() && state_ != State::kClosing) return;
-  const AvpView* cause = view.find(avp::kDisconnectCause.code);
+  const AvpView* cause = message.find(avp::kDisconnectCause.code);
   peer_disconnect_cause_ = static_cast<DisconnectCause>(cause != nullptr ? as_u32(*cause).value_or(0) : 0);
   disconnect_agreed_ = true;
   // Section 5.4.3: this node doesn't reconnect to a peer that sent DO_NOT_WANT_TO_TALK_TO_YOU.
--- a/tests/diameter/peer_test.cpp
+++ b/tests/diameter/peer_test.cpp
@@ -31,9 +31,9 @@
   void on_up() override { up_count += 1; }
   void on_down(const std::string&) override { down_count += 1; }
   void on_suspect_change(bool now_suspect) override { suspect = now_suspect; }
-  void on_message(const MessageView& view, bool reopening) override {
+  void on_message(const MessageView& message, bool reopening) override {
     message_count += 1;
-    last_header = view.header;
+    last_header = message.header;
     reopening_messages += reopening;
   }
   void on_protocol_error(const std::string& what) override { protocol_errors.push_back(what); }
