--- a/src/diameter/peer.cpp
+++ b/src/diameter/peer.cpp
@@ -94,8 +94,8 @@
       rng_(seed),
       watchdog_(settings_.watchdog_interval_s, seed ^ 0x9E3779B97F4A7C15u) {
   state_deadline_ = kNever;
-  // Section 3: hop-by-hop ids start at any value; the upper 12 bits of end-to-end ids hold the time. Here
-  // they hold the lower bits of Origin-State-Id, which is the start time.
+  // Section 3: hop-by-hop ids start at any value; the upper 12 bits of end-to-end ids hold the time. This
+  // node uses the lower bits of Origin-State-Id, which is the start time.
   hop_by_hop_ = static_cast<std::uint32_t>(rng_());
   end_to_end_ = local.origin_state_id << 20 | (static_cast<std::uint32_t>(rng_()) & 0xFFFFF);
 }
@@ -117,14 +117,14 @@
 }
 
 void Peer::on_connected(double now) {
-  initiated_ = true;
+  initiated_up_ = true;
   framers_[0] = std::make_unique<Framer>(settings_.max_message_length);
   if (state_ == State::kWaitConnAck) {
     enter(State::kWaitICea, now);
     send_cer();
   } else if (state_ == State::kWaitConnAckElect) {
     send_cer();
-    if (win_election()) {
+    if (wins_election()) {
       close_connection(Connection::kInitiated);
       delegate_.send(Connection::kAccepted, std::exchange(deferred_cea_, {}));
       enter_open(Connection::kAccepted, now);
@@ -163,23 +163,23 @@
   switch (state_) {
     case State::kClosed:
       record_origin_state(cer);
-      accepted_ = true;
+      accepted_up_ = true;
       framers_[1] = std::make_unique<Framer>(settings_.max_message_length);
       delegate_.send(Connection::kAccepted, make_cea(cer));
       enter_open(Connection::kAccepted, now);
       return true;
     case State::kWaitConnAck:
       record_origin_state(cer);
-      accepted_ = true;
+      accepted_up_ = true;
       framers_[1] = std::make_unique<Framer>(settings_.max_message_length);
       deferred_cea_ = make_cea(cer);
       enter(State::kWaitConnAckElect, now);
       return true;
     case State::kWaitICea:
       record_origin_state(cer);
-      accepted_ = true;
+      accepted_up_ = true;
       framers_[1] = std::make_unique<Framer>(settings_.max_message_length);
-      if (win_election()) {
+      if (wins_election()) {
         close_connection(Connection::kInitiated);
         delegate_.send(Connection::kAccepted, make_cea(cer));
         enter_open(Connection::kAccepted, now);
@@ -211,7 +211,7 @@
 }
 
 void Peer::close_connection(Connection connection) {
-  bool& connected = connection == Connection::kInitiated ? initiated_ : accepted_;
+  bool& connected = connection == Connection::kInitiated ? initiated_up_ : accepted_up_;
   if (!connected) return;
   connected = false;
   delegate_.close(connection);
@@ -239,7 +239,7 @@
 
 void Peer::on_closed(Connection connection, double now, const std::string& reason) {
   if (!is_connected(connection)) return;
-  (connection == Connection::kInitiated ? initiated_ : accepted_) = false;
+  (connection == Connection::kInitiated ? initiated_up_ : accepted_up_) = false;
   switch (state_) {
     case State::kWaitICea:
       if (connection == Connection::kInitiated) enter_closed("closed before the CEA", now);
@@ -432,20 +432,20 @@
   delegate_.on_message(view, reopening);
 }
 
-void Peer::handle_base_message(Connection connection, const MessageView& view, double now) {
-  const bool is_request = view.header.request();
-  switch (view.header.command) {
+void Peer::handle_base_message(Connection connection, const MessageView& message, double now) {
+  const bool is_request = message.header.request();
+  switch (message.header.command) {
     case kCapabilitiesExchange:
-      if (!is_request) return handle_cea(view, now);
+      if (!is_request) return handle_cea(message, now);
       if (is_open() && connection == open_connection_) {
-        delegate_.send(connection, make_cea(view));  // the peer updates its capabilities
+        delegate_.send(connection, make_cea(message));  // the peer updates its capabilities
       } else {
         delegate_.on_protocol_error("unexpected CER");
       }
       return;
     case kDeviceWatchdog:
       if (is_request) {
-        Builder dwa(answer_header(view.header, false));
+        Builder dwa(answer_header(message.header, false));
         dwa.u32(avp::kResultCode, kSuccess);
         add_origin(dwa, local_);
         dwa.u32(avp::kOriginStateId, local_.origin_state_id);
@@ -453,8 +453,8 @@
       }
       return;
     case kDisconnectPeer:
-      if (is_request) return handle_dpr(connection, view, now);
-      if (state_ == State::kClosing && view.header.hop_by_hop == pending_request_id_)
+      if (is_request) return handle_dpr(connection, message, now);
+      if (state_ == State::kClosing && message.header.hop_by_hop == pending_request_id_)
         enter_closed("disconnected", now);
       return;
     default:
@@ -462,12 +462,12 @@
   }
 }
 
-void Peer::handle_cea(const MessageView& view, double now) {
+void Peer::handle_cea(const MessageView& message, double now) {
   const bool expected = state_ == State::kWaitICea || state_ == State::kWaitReturns;
-  if (!expected || view.header.hop_by_hop != pending_request_id_)
+  if (!expected || message.header.hop_by_hop != pending_request_id_)
     return delegate_.on_protocol_error("unsolicited CEA");
-  const AvpView* result = view.find(avp::kResultCode.code);
-  const AvpView* host = view.find(avp::kOriginHost.code);
+  const AvpView* result = message.find(avp::kResultCode.code);
+  const AvpView* host = message.find(avp::kOriginHost.code);
   const std::uint32_t code = result != nullptr ? as_u32(*result).value_or(0) : 0;
   if (code / 1000 != 2) {
     delegate_.on_protocol_error("capabilities refused with " + std::to_string(code));
@@ -477,8 +477,8 @@
     delegate_.on_protocol_error("the Origin-Host of the CEA is not " + settings_.host);
     return enter_closed("unexpected Origin-Host in the CEA", now);
   }
-  if (!has_common_application(view)) return enter_closed("no common application", now);
-  record_origin_state(view);
+  if (!has_common_application(message)) return enter_closed("no common application", now);
+  record_origin_state(message);
   if (state_ == State::kWaitReturns) {
     close_connection(Connection::kAccepted);
     deferred_cea_.clear();
@@ -486,13 +486,13 @@
   enter_open(Connection::kInitiated, now);
 }
 
-void Peer::handle_dpr(Connection connection, const MessageView& view, double now) {
-  Builder dpa(answer_header(view.header, false));
+void Peer::handle_dpr(Connection connection, const MessageView& message, double now) {
+  Builder dpa(answer_header(message.header, false));
   dpa.u32(avp::kResultCode, kSuccess);
   add_origin(dpa, local_);
   delegate_.send(connection, dpa.finish());
   if (!is_open() && state_ != State::kClosing) return;
-  const AvpView* cause = view.find(avp::kDisconnectCause.code);
+  const AvpView* cause = message.find(avp::kDisconnectCause.code);
   peer_disconnect_cause_ = static_cast<DisconnectCause>(cause != nullptr ? as_u32(*cause).value_or(0) : 0);
   disconnect_agreed_ = true;
   // Section 5.4.3: this node doesn't reconnect to a peer that sent DO_NOT_WANT_TO_TALK_TO_YOU.
