--- a/src/diameter/codec.hpp
+++ b/src/diameter/codec.hpp
@@ -37,7 +37,7 @@
   std::uint32_t application = 0;
   std::uint32_t hop_by_hop = 0;
   std::uint32_t end_to_end = 0;
-  bool request() const { return (flags & kRequest) != 0; }
+  bool is_request() const { return (flags & kRequest) != 0; }
 };
 
 struct AvpView {
--- a/src/diameter/dictionary.cpp
+++ b/src/diameter/dictionary.cpp
@@ -291,14 +291,14 @@
 std::optional<Fault> validate(const MessageView& message) {
   const Grammar* grammar = nullptr;
   for (const Grammar& each : grammars()) {
-    if (each.command == message.header.command && each.request == message.header.request()) grammar = &each;
+    if (each.command == message.header.command && each.request == message.header.is_request()) grammar = &each;
   }
   if (grammar == nullptr) return std::nullopt;
   for (const AvpView& avp : message.avps) {
     if (auto error = check_avp(avp, 0)) return error;
     const bool answer_only =
         avp.vendor == 0 && (avp.code == avp::kResultCode.code || avp.code == avp::kFailedAvp.code);
-    if (answer_only && message.header.request()) return avp_fault(kAvpNotAllowed, avp, "not in a request");
+    if (answer_only && message.header.is_request()) return avp_fault(kAvpNotAllowed, avp, "not in a request");
   }
   // Answers that report an error have their own grammar (RFC 6733 section 7.2) and may lack the AVPs that the
   // request lacked. Only Result-Code, Origin-Host and Origin-Realm are always required.
--- a/src/diameter/peer.cpp
+++ b/src/diameter/peer.cpp
@@ -359,7 +359,7 @@
         delegate_.on_protocol_error(fault.text + "; connection closed");
         MessageView view;
         view.header = framer(connection).header();
-        if (view.header.request()) {
+        if (view.header.is_request()) {
           delegate_.send(connection, error_answer(local_, view, fault.result_code, {}, fault.text));
         }
         if (is_open() && connection == open_connection_) {
@@ -378,7 +378,7 @@
 void Peer::handle_message(Connection connection, std::string_view frame, double now) {
   MessageView view;
   std::optional<Fault> fault = decode(frame, view);
-  const bool is_request = view.header.request();
+  const bool is_request = view.header.is_request();
   const std::uint32_t command = view.header.command;
   const bool is_base_command =
       command == kCapabilitiesExchange || command == kDeviceWatchdog || command == kDisconnectPeer;
@@ -433,7 +433,7 @@
 }
 
 void Peer::handle_base_message(Connection connection, const MessageView& view, double now) {
-  const bool is_request = view.header.request();
+  const bool is_request = view.header.is_request();
   switch (view.header.command) {
     case kCapabilitiesExchange:
       if (!is_request) return handle_cea(view, now);
--- a/src/edge/core_side.cpp
+++ b/src/edge/core_side.cpp
@@ -249,7 +249,7 @@
 }
 
 void CoreSide::on_message(Server& server, const diameter::MessageView& view) {
-  if (!view.header.request()) return on_answer(server, view);
+  if (!view.header.is_request()) return on_answer(server, view);
   if (view.header.command == diameter::kAbortSession) return on_abort(server, view);
   // Core servers don't set up calls through the proxy.
   server.link->send(
--- a/src/edge/diameter_front.cpp
+++ b/src/edge/diameter_front.cpp
@@ -99,14 +99,14 @@
     view.header = pending.framer.header();
   } else {
     fault = decode(frame, view);
-    if (!fault && (view.header.command != diameter::kCapabilitiesExchange || !view.header.request())) {
+    if (!fault && (view.header.command != diameter::kCapabilitiesExchange || !view.header.is_request())) {
       return reject_pending(id, "the first message is not a CER");
     }
     if (!fault) fault = validate(view);
   }
   if (fault) {
     counters_.malformed += 1;
-    if (view.header.request()) {
+    if (view.header.is_request()) {
       pending.stream->write(error_answer(local_, view, fault->result_code, fault->failed_avp, fault->text));
     }
     return reject_pending(id, fault->text);
@@ -203,7 +203,7 @@
 // ---- Requests ----
 
 void DiameterFront::on_message(Caller& caller, const MessageView& view, bool reopening) {
-  if (!view.header.request()) return;  // an ASA: the call has ended already
+  if (!view.header.is_request()) return;  // an ASA: the call has ended already
   if (view.header.command != diameter::kCreditControl) {
     caller.link->send(error_answer(local_, view, diameter::kCommandUnsupported, {}, "not from callers"));
     return;
--- a/src/lab/bench.cpp
+++ b/src/lab/bench.cpp
@@ -174,7 +174,7 @@
       ready_ = true;
       return loop_.stop();
     }
-    if (view.header.request()) {
+    if (view.header.is_request()) {
       if (view.header.command == diameter::kDeviceWatchdog) {
         line_->send(answer_base(view, name_, 1));
       }
@@ -250,7 +250,7 @@
     const std::uint64_t id = ++last;
     Line::Handlers handlers;
     handlers.on_message = [&, id](const MessageView& view) {
-      if (!view.header.request()) return;
+      if (!view.header.is_request()) return;
       const bool cer = view.header.command == diameter::kCapabilitiesExchange;
       lines.at(id)->send(cer ? answer_base(view, kCore, 1) : edge::write_success(view, local));
     };
@@ -285,7 +285,7 @@
   from_core.on_open = [&] { core->send(make_cer("relay.lab.test", 1, 1)); };
   from_core.on_message = [&](const MessageView& view) {
     const auto way = ways.find(view.header.hop_by_hop);
-    if (view.header.request() || way == ways.end()) return;
+    if (view.header.is_request() || way == ways.end()) return;
     const auto caller = callers.find(way->second.line);
     if (caller != callers.end() && way->second.session == edge::session_of(view)) {
       std::string frame = frame_of(view);
@@ -301,7 +301,7 @@
     const std::uint64_t id = ++last;
     Line::Handlers handlers;
     handlers.on_message = [&, id](const MessageView& view) {
-      if (!view.header.request()) return;
+      if (!view.header.is_request()) return;
       if (view.header.command == diameter::kCapabilitiesExchange) {
         return callers.at(id)->send(answer_base(view, "relay.lab.test", 1));
       }
--- a/src/lab/call.cpp
+++ b/src/lab/call.cpp
@@ -164,7 +164,7 @@
   }
 
   void message(const MessageView& view) {
-    if (view.header.request()) return request(view);
+    if (view.header.is_request()) return request(view);
     if (view.header.command == diameter::kCapabilitiesExchange) {
       const auto* result = view.find(avp::kResultCode.code);
       ready_ = result != nullptr && diameter::as_u32(*result) == diameter::kSuccess;
--- a/src/lab/checker.cpp
+++ b/src/lab/checker.cpp
@@ -133,7 +133,7 @@
   }
 
   void caller_frame(const v1::Record& record, const diameter::MessageView& view, const std::string& session) {
-    const bool request = view.header.request();
+    const bool request = view.header.is_request();
     if (view.header.command == diameter::kAbortSession && request && !record.outgoing()) {
       const auto found = tries_.find(session);
       if (found != tries_.end()) found->second.cut = std::min(found->second.cut, record.time());
@@ -168,7 +168,7 @@
   }
 
   void core_frame(const v1::Record& record, const diameter::MessageView& view, const std::string& session) {
-    const bool request = view.header.request();
+    const bool request = view.header.is_request();
     if (view.header.command == diameter::kAbortSession && request && record.outgoing()) {
       if (Attempt* last = latest(session, record.who())) last->gone = record.time();
       return;
--- a/src/lab/core.cpp
+++ b/src/lab/core.cpp
@@ -189,7 +189,7 @@
 
   void message(std::uint64_t id, const MessageView& view) {
     Line& line = *lines_.at(id);
-    if (!view.header.request()) return;
+    if (!view.header.is_request()) return;
     switch (view.header.command) {
       case diameter::kCapabilitiesExchange: {
         const auto* host = view.find(avp::kOriginHost.code);
--- a/tests/edge/edge_test.cpp
+++ b/tests/edge/edge_test.cpp
@@ -111,7 +111,7 @@
     line.send(b.finish());
   }
   void on_message(Line& line, const MessageView& view) {
-    if (!view.header.request()) {
+    if (!view.header.is_request()) {
       if (view.header.command == diameter::kCapabilitiesExchange) {
         ceas += 1;
         cea_results.push_back(result_of(view));
