--- a/src/edge/core_side.cpp
+++ b/src/edge/core_side.cpp
@@ -75,21 +75,21 @@
   try {
     address = net::parse_address(server.entry.address);
   } catch (const std::exception& error) {
-    delegate_.core_event(server.entry.identity, "bad_address", error.what());
+    delegate_.core_connection_event(server.entry.identity, "bad_address", error.what());
     return;
   }
   PeerLink::Handlers handlers;
   handlers.on_up = [this, &server] { on_up(server); };
   handlers.on_down = [this, &server](const std::string& why) { on_down(server, why); };
   handlers.on_suspect = [this, &server](bool suspect) {
-    delegate_.core_event(server.entry.identity, suspect ? "suspect" : "usable", "");
+    delegate_.core_connection_event(server.entry.identity, suspect ? "suspect" : "usable", "");
   };
   handlers.on_message = [this, &server](const diameter::MessageView& view, bool) {
     on_message(server, view);
   };
   handlers.on_malformed = [this, &server](const std::string& what) {
     counters_.malformed += 1;
-    delegate_.core_event(server.entry.identity, "malformed", what);
+    delegate_.core_connection_event(server.entry.identity, "malformed", what);
   };
   handlers.on_connect_failed = [this, &server](const std::string& why) { on_refused(server, why); };
   server.link = std::make_unique<PeerLink>(loop_, local_, settings, seed_ ^ server.id, address,
@@ -173,7 +173,8 @@
 }
 
 void CoreSide::end_attempts(const std::vector<CoreSessions::Attempt>& attempts, Outcome outcome) {
-  for (const auto& each : attempts) delegate_.core_ended(each.call, each.number, outcome_only(outcome));
+  for (const auto& each : attempts)
+    delegate_.core_attempt_ended(each.call, each.number, outcome_only(outcome));
 }
 
 // Each server has one timer, set to the next deadline of its sessions.
@@ -205,7 +206,7 @@
 }
 
 void CoreSide::on_up(Server& server) {
-  delegate_.core_event(server.entry.identity, "up", "");
+  delegate_.core_connection_event(server.entry.identity, "up", "");
   const double now = loop_.now();
   CoreSessions::Reconnection reconnection =
       server.sessions.on_connected(server.link->peer().peer_origin_state_id(), now);
@@ -217,7 +218,7 @@
   confirm_releases(reconnection.obsolete_releases);
   for (CoreSessions::QueuedSetup& each : queued) {
     if (server.entry.state != ServerEntry::State::kReady) {
-      delegate_.core_ended(each.attempt.call, each.attempt.number, outcome_only(Outcome::kNotSent));
+      delegate_.core_attempt_ended(each.attempt.call, each.attempt.number, outcome_only(Outcome::kNotSent));
     } else {
       transmit(server, each.attempt, each.give_up_at - now, std::move(each.record));
     }
@@ -225,7 +226,7 @@
 }
 
 void CoreSide::on_down(Server& server, const std::string& why) {
-  delegate_.core_event(server.entry.identity, "down", why);
+  delegate_.core_connection_event(server.entry.identity, "down", why);
   const std::vector<CoreSessions::Attempt> ended = server.sessions.on_connection_lost(loop_.now());
   schedule_timer(server);
   if (server.sessions.in_use()) {
@@ -243,7 +244,7 @@
 void CoreSide::on_refused(Server& server, const std::string& why) {
   const std::vector<CoreSessions::Attempt> dropped = server.sessions.drop_queued();
   schedule_timer(server);
-  if (!dropped.empty()) delegate_.core_event(server.entry.identity, "refused", why);
+  if (!dropped.empty()) delegate_.core_connection_event(server.entry.identity, "refused", why);
   end_attempts(dropped, Outcome::kConnectFailed);
   close_if_idle(server);
 }
@@ -272,7 +273,7 @@
       [[fallthrough]];
     case Kind::kLate:
       counters_.late += 1;
-      return delegate_.core_load(server.id, answer);
+      return delegate_.core_load_reported(server.id, answer);
     case Kind::kRelease:
       // A release that the server could not carry out is not confirmed: the caller will repeat the request.
       if (group_of(answer.result) == ResultGroup::kProtocolError ||
@@ -282,10 +283,11 @@
       return delegate_.core_release_confirmed(match.record->session_id, answer.established);
     case Kind::kSetup:
       if (const auto warning = server.answers.record_answer(loop_.now(), answer.result, answer.failed_avp)) {
-        delegate_.core_errors(server.entry.identity, *warning);
+        delegate_.core_errors_reported(server.entry.identity, *warning);
       }
-      if (answer.established) return delegate_.core_established(match.attempt.call, match.attempt.number, answer);
-      return delegate_.core_ended(match.attempt.call, match.attempt.number, answer);
+      if (answer.established)
+        return delegate_.core_call_established(match.attempt.call, match.attempt.number, answer);
+      return delegate_.core_attempt_ended(match.attempt.call, match.attempt.number, answer);
     default:
       return;
   }
--- a/src/edge/core_side.hpp
+++ b/src/edge/core_side.hpp
@@ -26,15 +26,17 @@
 class CoreSideDelegate {
  public:
   virtual ~CoreSideDelegate() = default;
-  virtual void core_established(CallId call, std::uint32_t attempt, const CoreAnswer& answer) = 0;
-  virtual void core_ended(CallId call, std::uint32_t attempt, const CoreAnswer& answer) = 0;
-  virtual void core_load(ServerId server, const CoreAnswer& answer) = 0;
+  virtual void core_call_established(CallId call, std::uint32_t attempt, const CoreAnswer& answer) = 0;
+  // An attempt, or the established call that it became, has ended.
+  virtual void core_attempt_ended(CallId call, std::uint32_t attempt, const CoreAnswer& answer) = 0;
+  virtual void core_load_reported(ServerId server, const CoreAnswer& answer) = 0;
   // A release is confirmed: the server has ended the session, or (`ended` false) does not know it.
   virtual void core_release_confirmed(const std::string& session, bool ended) = 0;
-  // A server answers with errors; rate-limited.
-  virtual void core_errors(const std::string& server, const AnswerMonitor::Warning& warning) = 0;
-  // An event of a server's connection, to be logged.
-  virtual void core_event(const std::string& server, const char* event, const std::string& detail) = 0;
+  // A server answers set-ups with errors. Rate-limited.
+  virtual void core_errors_reported(const std::string& server, const AnswerMonitor::Warning& warning) = 0;
+  // `event` names what happened to a server's connection, for the log.
+  virtual void core_connection_event(const std::string& server, const char* event,
+                                     const std::string& detail) = 0;
 };
 
 struct CoreCounters {
--- a/src/edge/diameter_front.cpp
+++ b/src/edge/diameter_front.cpp
@@ -21,7 +21,7 @@
 
 DiameterFront::DiameterFront(
     net::Loop& loop, const diameter::LocalNode& local, const Config& config, std::uint64_t seed,
-    FrontDelegate& switchboard,
+    FrontDelegate& delegate,
     std::function<bool(const std::shared_ptr<net::Stream>&, const MessageView&, std::string_view)>
         offer_to_core_side,
     std::function<void(const std::string&, const char*, const std::string&)> log_connection_event)
@@ -29,11 +29,11 @@
       local_(local),
       config_(config),
       seed_(seed),
-      switchboard_(switchboard),
+      delegate_(delegate),
       offer_to_core_side_(std::move(offer_to_core_side)),
       log_connection_event_(std::move(log_connection_event)),
       duplicates_(config.callers.max_duplicates, config.callers.duplicates_s),
-      pending_ends_(config.max_calls, config.callers.end_wait_s) {
+      pending_terminations_(config.max_calls, config.callers.end_wait_s) {
   listener_ = std::make_unique<net::Listener>(loop_, config_.node.listen,
                                               [this](int fd, net::Address from) { on_accepted(fd, from); });
 }
@@ -44,7 +44,7 @@
     pending->stream->close();
   }
   for (auto& [host, caller] : callers_) loop_.timers().cancel(caller->hold_timer);
-  loop_.timers().cancel(ends_timer_);
+  loop_.timers().cancel(termination_timer_);
 }
 
 std::size_t DiameterFront::open_peers() const {
@@ -186,7 +186,7 @@
   for (const CallId id : caller.calls) {
     if (!only_unanswered || !calls_.at(id).answered) ending.push_back(id);
   }
-  for (const CallId id : ending) switchboard_.hang_up(id);
+  for (const CallId id : ending) delegate_.hang_up(id);
 }
 
 // Erases disconnected callers without calls, to make room for others. Must not be called from a callback of a
@@ -243,24 +243,24 @@
         error_answer(local_, view, diameter::kUnableToComply, {}, "this session is a call already"));
     return;
   }
-  if (const auto fault = switchboard_.validate_setup(*record)) {
+  if (const auto fault = delegate_.validate_setup(*record)) {
     std::string bytes = error_answer(local_, view, fault->result_code, fault->failed_avp, fault->text);
     duplicates_.store_answer(record->origin_host, record->end_to_end, bytes);
     caller.link->send(std::move(bytes));
     return;
   }
   // Register the call before it is offered: the answer may come before offer() returns.
-  const CallId id = switchboard_.next_call_id();
+  const CallId id = delegate_.next_call_id();
   calls_[id] = {record, &caller, false, false};
   call_by_session_[record->session_id] = id;
   caller.calls.insert(id);
-  switchboard_.offer(*this, id, record, reopening);
+  delegate_.offer(*this, id, record, reopening);
 }
 
 void DiameterFront::on_termination(Caller& caller, const MessageView& view) {
   const std::string session = session_of(view);
   TerminationRequest end{caller.host, frame_of(view), write_success(view, local_)};
-  if (pending_ends_.replace_request(session, end)) return;
+  if (pending_terminations_.replace_request(session, end)) return;
   const auto found = call_by_session_.find(session);
   if (found != call_by_session_.end()) {
     const CallId id = found->second;
@@ -277,22 +277,22 @@
       duplicates_.store_answer(call.record->origin_host, call.record->end_to_end, bytes);
       call.caller->link->send(std::move(bytes));
     }
-    if (switchboard_.hang_up(id)) return await_confirmation(caller, std::move(end), session, 1, true);
+    if (delegate_.hang_up(id)) return await_confirmation(caller, std::move(end), session, 1, true);
     caller.link->send(std::move(end.success));
     return;
   }
   // The call was set up through another proxy, or through this one before a restart. The request names the
   // core server that holds it.
   const CallRecord record = read_setup(view, caller.host);
-  if (const auto fault = switchboard_.validate_realm(record)) {
+  if (const auto fault = delegate_.validate_realm(record)) {
     caller.link->send(error_answer(local_, view, fault->result_code, fault->failed_avp, fault->text));
     return;
   }
-  if (pending_ends_.full()) {
+  if (pending_terminations_.full()) {
     caller.link->send(error_answer(local_, view, diameter::kTooBusy, {}, "too many ends under way"));
     return;
   }
-  if (const std::uint32_t asked = switchboard_.forward_termination(record)) {
+  if (const std::uint32_t asked = delegate_.forward_termination(record)) {
     await_confirmation(caller, std::move(end), session, asked, false);
   } else {
     caller.link->send(error_answer(local_, view, diameter::kUnknownSessionId, {}, "no such call"));
@@ -301,22 +301,23 @@
 
 void DiameterFront::await_confirmation(Caller& caller, TerminationRequest request, const std::string& session,
                                        std::uint32_t servers, bool known) {
-  if (pending_ends_.full()) {  // the release is sent, but its confirmation can't be awaited
+  if (pending_terminations_.full()) {  // the release is sent, but its confirmation can't be awaited
     caller.link->send(std::move(request.success));
     return;
   }
-  pending_ends_.add(session, std::move(request), servers, known, loop_.now());
-  schedule_ends_timer();
+  pending_terminations_.add(session, std::move(request), servers, known, loop_.now());
+  schedule_termination_timer();
 }
 
 void DiameterFront::on_release_confirmed(const std::string& session, bool ended) {
-  const auto completed = pending_ends_.confirm(session, ended);
+  const auto completed = pending_terminations_.confirm(session, ended);
   if (!completed) return;
   if (completed->ended) return send_if_connected(completed->request.peer, completed->request.success);
   answer_termination(completed->request, diameter::kUnknownSessionId, "no such call");
 }
 
-void DiameterFront::answer_termination(const TerminationRequest& request, std::uint32_t result, const char* text) {
+void DiameterFront::answer_termination(const TerminationRequest& request, std::uint32_t result,
+                                       const char* text) {
   MessageView view;
   if (decode(request.request, view)) return;
   send_if_connected(request.peer, error_answer(local_, view, result, {}, text));
@@ -329,17 +330,17 @@
 }
 
 // One timer serves all pending ends: the oldest one is due first.
-void DiameterFront::schedule_ends_timer() {
-  const double due = pending_ends_.deadline();
-  if (ends_timer_ != net::TimerId() || due > 1e15) return;
-  ends_timer_ = loop_.timers().at(due, [this] {
-    ends_timer_ = 0;
-    for (const TerminationRequest& each : pending_ends_.take_expired(loop_.now())) {
+void DiameterFront::schedule_termination_timer() {
+  const double due = pending_terminations_.deadline();
+  if (termination_timer_ != net::TimerId() || due > 1e15) return;
+  termination_timer_ = loop_.timers().at(due, [this] {
+    termination_timer_ = 0;
+    for (const TerminationRequest& each : pending_terminations_.take_expired(loop_.now())) {
       counters_.unconfirmed += 1;
       answer_termination(each, diameter::kUnableToDeliver,
                          "the core server has not confirmed it: say it again");
     }
-    schedule_ends_timer();
+    schedule_termination_timer();
   });
 }
 
@@ -357,7 +358,7 @@
     case SetupResult::Kind::kEstablished:
       call.established = true;
       answer.result = diameter::kSuccess;
-      answer.origin_host = switchboard_.identity_of(result.server);
+      answer.origin_host = delegate_.identity_of(result.server);
       answer.origin_realm = call.record->destination_realm;
       break;
     case SetupResult::Kind::kRefused:
@@ -366,9 +367,9 @@
       answer.text = result.reason;
       break;
     case SetupResult::Kind::kRejected: {
-      const CoreAnswer& rejection = switchboard_.rejection_of(id);
+      const CoreAnswer& rejection = delegate_.rejection_of(id);
       answer.result = rejection.result;
-      answer.origin_host = switchboard_.identity_of(result.server);
+      answer.origin_host = delegate_.identity_of(result.server);
       answer.origin_realm = call.record->destination_realm;
       answer.text = rejection.text;
       answer.failed_avp = rejection.failed_avp;
--- a/src/edge/diameter_front.hpp
+++ b/src/edge/diameter_front.hpp
@@ -35,7 +35,7 @@
   // `log_connection_event` logs one event of a peer's connection: the peer, the event's name, details.
   DiameterFront(
       net::Loop& loop, const diameter::LocalNode& local, const Config& config, std::uint64_t seed,
-      FrontDelegate& switchboard,
+      FrontDelegate& delegate,
       std::function<bool(const std::shared_ptr<net::Stream>&, const diameter::MessageView&, std::string_view)>
           offer_to_core_side,
       std::function<void(const std::string& peer, const char* event, const std::string& detail)>
@@ -47,7 +47,7 @@
   void forget(CallId call) override;
   void on_release_confirmed(const std::string& session, bool ended) override;
 
-  std::size_t pending_ends() const { return pending_ends_.size(); }
+  std::size_t pending_terminations() const { return pending_terminations_.size(); }
   void stop_listening() { listener_.reset(); }
   void stop();  // sends a DPR to every caller
   bool closed() const;
@@ -90,7 +90,7 @@
   void on_termination(Caller& caller, const diameter::MessageView& view);
   void await_confirmation(Caller& caller, TerminationRequest request, const std::string& session,
                           std::uint32_t servers, bool known);
-  void schedule_ends_timer();
+  void schedule_termination_timer();
   void answer_termination(const TerminationRequest& request, std::uint32_t result, const char* text);
   void send_if_connected(const std::string& peer, std::string bytes);
   void on_down(Caller& caller, const std::string& reason);
@@ -101,7 +101,7 @@
   const diameter::LocalNode& local_;
   const Config& config_;
   std::uint64_t seed_;
-  FrontDelegate& switchboard_;
+  FrontDelegate& delegate_;
   std::function<bool(const std::shared_ptr<net::Stream>&, const diameter::MessageView&, std::string_view)>
       offer_to_core_side_;
   std::function<void(const std::string&, const char*, const std::string&)> log_connection_event_;
@@ -112,8 +112,8 @@
   std::unordered_map<CallId, Call> calls_;
   std::unordered_map<std::string, CallId> call_by_session_;
   diameter::DuplicateCache duplicates_;
-  PendingTerminations pending_ends_;
-  net::TimerId ends_timer_ = 0;
+  PendingTerminations pending_terminations_;
+  net::TimerId termination_timer_ = 0;
   FrontCounters counters_;
   bool stopping_ = false;
 };
--- a/src/edge/edge.cpp
+++ b/src/edge/edge.cpp
@@ -115,7 +115,7 @@
   add_counter("mintrock_connections_rejected_total", "Callers' connections rejected", {}, front.rejected);
   add_counter("mintrock_duplicates_total", "Requests that came again", {}, front.duplicates);
   metrics_.add_gauge("mintrock_ends_open", "Ends of calls that wait for a core server's word", {},
-                     [this] { return static_cast<double>(front_.pending_ends()); });
+                     [this] { return static_cast<double>(front_.pending_terminations()); });
   metrics_.add_gauge("mintrock_calls_open", "Calls without an answer yet", {},
                      [this] { return static_cast<double>(call_manager_.pending()); });
   metrics_.add_gauge("mintrock_calls_standing", "Calls that stand", {},
@@ -292,12 +292,12 @@
 
 // ---- Events of the core side ----
 
-void Edge::core_established(CallId call, std::uint32_t attempt, const CoreAnswer& answer) {
+void Edge::core_call_established(CallId call, std::uint32_t attempt, const CoreAnswer& answer) {
   call_manager_.on_established(call, attempt, answer.report, loop_.now());
   schedule_call_timer();
 }
 
-void Edge::core_ended(CallId call, std::uint32_t attempt, const CoreAnswer& answer) {
+void Edge::core_attempt_ended(CallId call, std::uint32_t attempt, const CoreAnswer& answer) {
   if (answer.cause == Cause::kUnfit || answer.cause == Cause::kRejected) {
     const auto found = calls_.find(call);
     if (found != calls_.end()) found->second.rejection = std::make_unique<const CoreAnswer>(answer);
@@ -307,7 +307,7 @@
   schedule_call_timer();
 }
 
-void Edge::core_load(ServerId server, const CoreAnswer& answer) {
+void Edge::core_load_reported(ServerId server, const CoreAnswer& answer) {
   call_manager_.update_load(server, answer.report, loop_.now());
   schedule_call_timer();
 }
@@ -316,7 +316,7 @@
   front_.on_release_confirmed(session, ended);
 }
 
-void Edge::core_errors(const std::string& server, const AnswerMonitor::Warning& warning) {
+void Edge::core_errors_reported(const std::string& server, const AnswerMonitor::Warning& warning) {
   log_event(warn, "core_errors",
             {{"peer", server},
              {"result", std::to_string(warning.result)},
@@ -325,7 +325,7 @@
              {"errors", std::to_string(warning.errors)}});
 }
 
-void Edge::core_event(const std::string& server, const char* event, const std::string& detail) {
+void Edge::core_connection_event(const std::string& server, const char* event, const std::string& detail) {
   const std::string_view name(event);
   const bool problem = name != "up" && name != "usable";
   log_event(problem ? warn : info, event, {{"side", "core"}, {"peer", server}, {"detail", detail}});
--- a/src/edge/edge.hpp
+++ b/src/edge/edge.hpp
@@ -42,7 +42,7 @@
   std::string core_state(const std::string& identity) const;
   std::uint64_t list_revision() const { return server_list_.revision(); }
   std::size_t connected_callers() const { return front_.open_peers(); }
-  std::size_t open_calls() const { return call_manager_.pending(); }
+  std::size_t pending_calls() const { return call_manager_.pending(); }
   std::size_t established_calls() const { return call_manager_.established(); }
   // SIGTERM: refuses new calls, waits for pending answers, sends DPRs, then stops the loop.
   void drain();
@@ -65,12 +65,13 @@
   void send_gossip(std::uint32_t peer, const std::vector<GossipEntry>& entries) override;
   void log(const std::string& text) override;
   // CoreSideDelegate
-  void core_established(CallId call, std::uint32_t attempt, const CoreAnswer& answer) override;
-  void core_ended(CallId call, std::uint32_t attempt, const CoreAnswer& answer) override;
-  void core_load(ServerId server, const CoreAnswer& answer) override;
+  void core_call_established(CallId call, std::uint32_t attempt, const CoreAnswer& answer) override;
+  void core_attempt_ended(CallId call, std::uint32_t attempt, const CoreAnswer& answer) override;
+  void core_load_reported(ServerId server, const CoreAnswer& answer) override;
   void core_release_confirmed(const std::string& session, bool ended) override;
-  void core_errors(const std::string& server, const AnswerMonitor::Warning& warning) override;
-  void core_event(const std::string& server, const char* event, const std::string& detail) override;
+  void core_errors_reported(const std::string& server, const AnswerMonitor::Warning& warning) override;
+  void core_connection_event(const std::string& server, const char* event,
+                             const std::string& detail) override;
   // FrontDelegate
   CallId next_call_id() override { return call_manager_.next_call_id(); }
   void offer(Front& front, CallId call, RecordPtr record, bool peer_reopening) override;
--- a/tests/edge/edge_test.cpp
+++ b/tests/edge/edge_test.cpp
@@ -296,7 +296,7 @@
   wait_until([&] { return core.setups == 2; }, "both set-ups are sent");
   caller.connections.back()->reset();
   wait_until([&] { return core.ends == 2; }, "both are released");
-  EXPECT_EQ(edge->open_calls(), 0u);
+  EXPECT_EQ(edge->pending_calls(), 0u);
   EXPECT_EQ(edge->call_counters().abandoned, 2u);
 }
 
@@ -400,7 +400,7 @@
         return edge->connected_callers() == 0;
       },
       "the proxy disconnects it");
-  EXPECT_EQ(edge->open_calls(), 0u);
+  EXPECT_EQ(edge->pending_calls(), 0u);
   other.connect_to(edge->callers_address());
   wait_until([&] { return other.ceas == 1; }, "another caller is accepted");
   other.send_ccr("fine", 1, 1);
