--- a/benchmarks/call_path.cpp
+++ b/benchmarks/call_path.cpp
@@ -93,9 +93,9 @@
   for (auto _ : state) {
     now += 0.001;
     const CallId id = call_manager.next_call_id();
-    CallRequest offer;
-    offer.ttl_s = 3;
-    call_manager.offer(id, offer, now);
+    CallRequest request;
+    request.ttl_s = 3;
+    call_manager.offer(id, request, now);
     call_manager.on_established(id, 0, {}, now + 0.0005);
     call_manager.hang_up(id, now + 0.0006);
     call_manager.tick(now + 0.0006);
--- a/include/mintrock/controller.hpp
+++ b/include/mintrock/controller.hpp
@@ -21,7 +21,8 @@
 using CallId = std::uint32_t;    // never reused within the lifetime of a Controller
 using ServerId = std::uint64_t;  // opaque; stays the same when the server's process restarts
 
-// Whether a set-up whose outcome is unknown may be sent again (see Settings::Class::effect).
+// Whether a set-up whose outcome is unknown may be sent again (see Settings::Class::effect). The Controller
+// sends only kRepeatable ones again.
 enum class Effect { kRepeatable, kByKey, kOnce };
 
 // The configuration of a Controller, fixed at construction. Each default applies where a value is not
@@ -39,8 +40,8 @@
   double repeat_after_s = 0.0;      // an unanswered set-up is retransmitted after this; 0: never
   double start_capacity = 1.0;      // a server starts with at least this share of its capacity
   double warm_up_s = 0.0;           // time from a server's start until it has its full capacity
-  double overload_factor = 1.0;     // a cold server that gets more than this factor x its current
-  double fall_s = 1.0;              // capacity for this long fails
+  double overload_factor = 1.0;     // a cold server fails under a load above this x its current capacity
+  double fall_s = 1.0;              // how long such a load must last until the server fails
   std::uint32_t attempt_limit = 1;  // maximum number of attempts per call
   double max_retry_after_s = 0.0;   // the longest retry-after that callers honour
   bool can_cancel = false;          // CancelAttempt may be used
--- a/src/bench/wire.cpp
+++ b/src/bench/wire.cpp
@@ -99,7 +99,7 @@
   const std::uint16_t bits = in.u16();
   call.redialled = (bits & kRedialled) != 0;
   call.was_cut = (bits & kWasCut) != 0;
-  in.f32();  // route advice; not used, no site gives any
+  in.f32();  // route advice; not used, since no site provides it
   in.u16();  // tenant; not used
   const double dest = in.f32();
   if (dest >= 0 && dest < 65536) call.first_choice = static_cast<std::int64_t>(dest);
--- a/src/edge/answer_monitor.hpp
+++ b/src/edge/answer_monitor.hpp
@@ -1,8 +1,8 @@
 // Monitors the answers of one core server to set-ups, for operators: counts by Result-Code, rate-limited
 // warnings, and whether the server answers only errors. Has no influence on calls.
 //
-// Does no I/O and reads no clock. Counts at most kMaxCodes different codes; further codes are counted under
-// 0.
+// Does no I/O and reads no clock. Counts at most kMaxCodes different codes; further codes are counted
+// together, under 0.
 #ifndef MINTROCK_SRC_EDGE_ANSWER_MONITOR_HPP_
 #define MINTROCK_SRC_EDGE_ANSWER_MONITOR_HPP_
 
--- a/src/edge/call_manager.cpp
+++ b/src/edge/call_manager.cpp
@@ -92,9 +92,9 @@
   const SendResult send_result =
       delegate_.send_setup(action.call, attempt, action.server, action.give_up_after_s);
   if (send_result == SendResult::kAccepted) return;
-  const auto again = calls_.find(action.call);
-  if (again == calls_.end() || again->second.attempts != attempt + 1) return;
-  end_attempt(action.call, again->second,
+  const auto current = calls_.find(action.call);
+  if (current == calls_.end() || current->second.attempts != attempt + 1) return;
+  end_attempt(action.call, current->second,
               send_result == SendResult::kNoConnection ? Outcome::kConnectFailed : Outcome::kNotSent,
               Cause::kNone, 0, {}, now);
 }
@@ -110,7 +110,7 @@
   end_attempt(id, call, Outcome::kTimedOut, Cause::kNone, 0, {}, timer_now_);
 }
 
-void CallManager::end_attempt(CallId id, Call& call, Outcome outcome, Cause cause, double told_wait_s,
+void CallManager::end_attempt(CallId id, Call& call, Outcome outcome, Cause cause, double advised_wait_s,
                               const Report& report, double now) {
   timers_.cancel(std::exchange(call.give_up_timer, 0));
   AttemptEnded event;
@@ -120,7 +120,7 @@
   event.spent_s = now - call.attempt_sent_at;
   event.outcome = outcome;
   event.cause = cause;
-  event.advised_wait_s = told_wait_s;
+  event.advised_wait_s = advised_wait_s;
   event.report = report;
   call.state = View::State::kDeciding;
   process(now, event);
@@ -146,8 +146,8 @@
   process(now, LoadNotice{server, report});
 }
 
-void CallManager::on_ended(CallId id, std::uint32_t attempt, Outcome outcome, Cause cause, double told_wait_s,
-                           const Report& report, double now) {
+void CallManager::on_ended(CallId id, std::uint32_t attempt, Outcome outcome, Cause cause,
+                           double advised_wait_s, const Report& report, double now) {
   const auto found = calls_.find(id);
   if (found == calls_.end() || found->second.attempts != attempt + 1 ||
       found->second.state == View::State::kDeciding) {
@@ -159,7 +159,7 @@
     return end_unanswered(id, call, report, now);
   }
   if (call.state == View::State::kInFlight)
-    return end_attempt(id, call, outcome, cause, told_wait_s, report, now);
+    return end_attempt(id, call, outcome, cause, advised_wait_s, report, now);
   end_established(id, call, outcome, report, now);
 }
 
--- a/src/edge/call_manager.hpp
+++ b/src/edge/call_manager.hpp
@@ -63,7 +63,7 @@
   virtual void forget(CallId call) = 0;
   // Subscribes to the server list.
   virtual void subscribe() = 0;
-  virtual void send_gossip(std::uint32_t peer, const std::vector<GossipEntry>& hearsay) = 0;
+  virtual void send_gossip(std::uint32_t peer, const std::vector<GossipEntry>& entries) = 0;
   virtual void log(const std::string& text) = 0;
 };
 
@@ -101,7 +101,7 @@
   void on_established(CallId call, std::uint32_t attempt, const Report& report, double now);
   // An attempt ended without success, or an established call was cut (Outcome::kReset) or ended by the core
   // server (Outcome::kEnded).
-  void on_ended(CallId call, std::uint32_t attempt, Outcome outcome, Cause cause, double told_wait_s,
+  void on_ended(CallId call, std::uint32_t attempt, Outcome outcome, Cause cause, double advised_wait_s,
                 const Report& report, double now);
 
   // An earlier attempt that was given up did run, or may have run, and its call has ended. The call is over
@@ -165,7 +165,7 @@
   void execute(const TellPeer& action, double now);
   void execute(const Log& action, double now);
   void finish_setup(CallId id, const SetupResult& result, double now);
-  void end_attempt(CallId id, Call& call, Outcome outcome, Cause cause, double told_wait_s,
+  void end_attempt(CallId id, Call& call, Outcome outcome, Cause cause, double advised_wait_s,
                    const Report& report, double now);
   // The core side ended the call of the current attempt before its answer arrived: the call ran and is over.
   void end_unanswered(CallId id, Call& call, const Report& report, double now);
--- a/src/edge/core_side.cpp
+++ b/src/edge/core_side.cpp
@@ -80,7 +80,7 @@
   }
   PeerLink::Handlers handlers;
   handlers.on_up = [this, &server] { on_up(server); };
-  handlers.on_down = [this, &server](const std::string& why) { on_down(server, why); };
+  handlers.on_down = [this, &server](const std::string& reason) { on_down(server, reason); };
   handlers.on_suspect = [this, &server](bool suspect) {
     delegate_.core_connection_event(server.entry.identity, suspect ? "suspect" : "usable", "");
   };
@@ -91,7 +91,7 @@
     counters_.malformed += 1;
     delegate_.core_connection_event(server.entry.identity, "malformed", what);
   };
-  handlers.on_connect_failed = [this, &server](const std::string& why) { on_refused(server, why); };
+  handlers.on_connect_failed = [this, &server](const std::string& reason) { on_refused(server, reason); };
   server.link = std::make_unique<PeerLink>(loop_, local_, settings, seed_ ^ server.id, address,
                                            config_.core.max_unsent, std::move(handlers));
 }
@@ -153,7 +153,7 @@
 }
 
 std::uint32_t CoreSide::forward_termination(const std::string& identity, const CallRecord& record) {
-  std::uint32_t asked = 0;
+  std::uint32_t sent = 0;
   RecordPtr shared;
   for (auto& [id, server] : servers_) {
     const bool named = server->entry.identity == identity;
@@ -163,9 +163,9 @@
     if (!server->link || (!named && !(identity.empty() && may_hold))) continue;
     if (!shared) shared = std::make_shared<CallRecord>(record);
     send_release(*server, shared);
-    asked += 1;
+    sent += 1;
   }
-  return asked;
+  return sent;
 }
 
 void CoreSide::confirm_releases(const std::vector<RecordPtr>& records) {
@@ -225,8 +225,8 @@
   }
 }
 
-void CoreSide::on_down(Server& server, const std::string& why) {
-  delegate_.core_connection_event(server.entry.identity, "down", why);
+void CoreSide::on_down(Server& server, const std::string& reason) {
+  delegate_.core_connection_event(server.entry.identity, "down", reason);
   const std::vector<CoreSessions::Attempt> ended = server.sessions.on_connection_lost(loop_.now());
   schedule_timer(server);
   if (server.sessions.in_use()) {
@@ -241,10 +241,10 @@
 }
 
 // Established calls are not cut: a process that refuses connections may still hold its sessions.
-void CoreSide::on_refused(Server& server, const std::string& why) {
+void CoreSide::on_refused(Server& server, const std::string& reason) {
   const std::vector<CoreSessions::Attempt> dropped = server.sessions.drop_queued();
   schedule_timer(server);
-  if (!dropped.empty()) delegate_.core_connection_event(server.entry.identity, "refused", why);
+  if (!dropped.empty()) delegate_.core_connection_event(server.entry.identity, "refused", reason);
   end_attempts(dropped, Outcome::kConnectFailed);
   close_if_idle(server);
 }
--- a/src/edge/core_side.hpp
+++ b/src/edge/core_side.hpp
@@ -102,8 +102,8 @@
   void schedule_timer(Server& server);
   void close_if_idle(Server& server);
   void on_up(Server& server);
-  void on_down(Server& server, const std::string& why);
-  void on_refused(Server& server, const std::string& why);
+  void on_down(Server& server, const std::string& reason);
+  void on_refused(Server& server, const std::string& reason);
   void on_message(Server& server, const diameter::MessageView& view);
   void on_answer(Server& server, const diameter::MessageView& view);
   void on_abort(Server& server, const diameter::MessageView& view);
--- a/src/edge/credit_control.cpp
+++ b/src/edge/credit_control.cpp
@@ -64,12 +64,12 @@
 // Whether the AVP is written by this node itself or concerns this hop alone. All others are forwarded
 // unchanged.
 bool is_hop_local(const AvpView& each) {
-  static const AvpDef* const kWritten[] = {
+  static const AvpDef* const kHopLocal[] = {
       &avp::kSessionId,         &avp::kOriginHost,       &avp::kOriginRealm,       &avp::kDestinationRealm,
       &avp::kAuthApplicationId, &avp::kServiceContextId, &avp::kCcRequestType,     &avp::kCcRequestNumber,
       &avp::kDestinationHost,   &avp::kCalledStationId,  &avp::kServiceIdentifier, &avp::kMaximumWaitTime,
       &avp::kLinesRequired,     &avp::kRedialIndicator};
-  return std::any_of(std::begin(kWritten), std::end(kWritten),
+  return std::any_of(std::begin(kHopLocal), std::end(kHopLocal),
                      [&](const AvpDef* def) { return def->code == each.code && def->vendor == each.vendor; });
 }
 
--- a/src/edge/diameter_front.cpp
+++ b/src/edge/diameter_front.cpp
@@ -222,13 +222,13 @@
 
 void DiameterFront::on_setup(Caller& caller, const MessageView& view, bool reopening) {
   auto record = std::make_shared<CallRecord>(read_setup(view, caller.host));
-  const auto* known = duplicates_.find_or_insert(record->origin_host, record->end_to_end, loop_.now());
-  if (known != nullptr) {
+  const auto* duplicate = duplicates_.find_or_insert(record->origin_host, record->end_to_end, loop_.now());
+  if (duplicate != nullptr) {
     counters_.duplicates += 1;
-    // A retransmitted request: resend its answer with the new hop-by-hop id. If there is no answer yet, it is
-    // sent once, with the hop-by-hop id of the latest request.
-    if (!known->answer.empty()) {
-      std::string resent = known->answer;
+    // A retransmitted request: resend its answer with the new hop-by-hop ID. If there is no answer yet, it is
+    // sent once, with the hop-by-hop ID of the latest request.
+    if (!duplicate->answer.empty()) {
+      std::string resent = duplicate->answer;
       for (int i = 0; i < 4; ++i) resent[12 + i] = static_cast<char>(view.header.hop_by_hop >> (24 - 8 * i));
       caller.link->send(std::move(resent));
     } else if (const auto at = call_by_session_.find(record->session_id); at != call_by_session_.end()) {
@@ -259,8 +259,8 @@
 
 void DiameterFront::on_termination(Caller& caller, const MessageView& view) {
   const std::string session = session_of(view);
-  TerminationRequest end{caller.host, frame_of(view), write_success(view, local_)};
-  if (pending_terminations_.replace_request(session, end)) return;
+  TerminationRequest termination{caller.host, frame_of(view), write_success(view, local_)};
+  if (pending_terminations_.replace_request(session, termination)) return;
   const auto found = call_by_session_.find(session);
   if (found != call_by_session_.end()) {
     const CallId id = found->second;
@@ -277,8 +277,8 @@
       duplicates_.store_answer(call.record->origin_host, call.record->end_to_end, bytes);
       call.caller->link->send(std::move(bytes));
     }
-    if (delegate_.hang_up(id)) return await_confirmation(caller, std::move(end), session, 1, true);
-    caller.link->send(std::move(end.success));
+    if (delegate_.hang_up(id)) return await_confirmation(caller, std::move(termination), session, 1, true);
+    caller.link->send(std::move(termination.success));
     return;
   }
   // The call was set up through another proxy, or through this one before a restart. The request names the
@@ -292,20 +292,20 @@
     caller.link->send(error_answer(local_, view, diameter::kTooBusy, {}, "too many ends under way"));
     return;
   }
-  if (const std::uint32_t asked = delegate_.forward_termination(record)) {
-    await_confirmation(caller, std::move(end), session, asked, false);
+  if (const std::uint32_t servers = delegate_.forward_termination(record)) {
+    await_confirmation(caller, std::move(termination), session, servers, false);
   } else {
     caller.link->send(error_answer(local_, view, diameter::kUnknownSessionId, {}, "no such call"));
   }
 }
 
 void DiameterFront::await_confirmation(Caller& caller, TerminationRequest request, const std::string& session,
-                                       std::uint32_t servers, bool known) {
+                                       std::uint32_t servers, bool ended_locally) {
   if (pending_terminations_.full()) {  // the release is sent, but its confirmation can't be awaited
     caller.link->send(std::move(request.success));
     return;
   }
-  pending_terminations_.add(session, std::move(request), servers, known, loop_.now());
+  pending_terminations_.add(session, std::move(request), servers, ended_locally, loop_.now());
   schedule_termination_timer();
 }
 
@@ -329,7 +329,7 @@
   if (at != callers_.end() && at->second->link->peer().is_open()) at->second->link->send(std::move(bytes));
 }
 
-// One timer serves all pending ends: the oldest one is due first.
+// One timer serves all pending terminations: the oldest one is due first.
 void DiameterFront::schedule_termination_timer() {
   const double due = pending_terminations_.deadline();
   if (termination_timer_ != net::TimerId() || due > 1e15) return;
--- a/src/edge/diameter_front.hpp
+++ b/src/edge/diameter_front.hpp
@@ -89,7 +89,7 @@
   void on_setup(Caller& caller, const diameter::MessageView& view, bool reopening);
   void on_termination(Caller& caller, const diameter::MessageView& view);
   void await_confirmation(Caller& caller, TerminationRequest request, const std::string& session,
-                          std::uint32_t servers, bool known);
+                          std::uint32_t servers, bool ended_locally);
   void schedule_termination_timer();
   void answer_termination(const TerminationRequest& request, std::uint32_t result, const char* text);
   void send_if_connected(const std::string& peer, std::string bytes);
--- a/src/edge/edge.cpp
+++ b/src/edge/edge.cpp
@@ -186,23 +186,23 @@
 // ---- Fronts ----
 
 void Edge::offer(Front& front, CallId id, RecordPtr record, bool peer_reopening) {
-  CallRequest offer;
-  offer.peer_reopening = peer_reopening;
+  CallRequest request;
+  request.peer_reopening = peer_reopening;
   const ClassMatch classified = match_class(config_.classes, *record);
   class_assumed_ += classified.assumed;
-  offer.call_class = classified.index;
-  const double deadline = config_.settings.classes[offer.call_class].deadline_s;
-  offer.ttl_s = record->max_wait_ms ? std::min(deadline, *record->max_wait_ms / 1000.0) : deadline;
-  offer.key = stable_hash(record->called);
-  offer.lines = record->lines;
+  request.call_class = classified.index;
+  const double deadline = config_.settings.classes[request.call_class].deadline_s;
+  request.ttl_s = record->max_wait_ms ? std::min(deadline, *record->max_wait_ms / 1000.0) : deadline;
+  request.key = stable_hash(record->called);
+  request.lines = record->lines;
   if (const list::Entry* entry = server_list_.find(server_list_.id_of(record->destination_host)))
-    offer.first_choice = entry->node;
+    request.first_choice = entry->node;
   else if (!record->destination_host.empty())
     unknown_host_ += 1;  // the first choice is only a preference: another server may take the call
-  offer.redialled = record->redial == 1;
-  offer.was_cut = record->redial == 2;
+  request.redialled = record->redial == 1;
+  request.was_cut = record->redial == 2;
   calls_[id] = {&front, std::move(record), loop_.now(), nullptr};
-  call_manager_.offer(id, offer, loop_.now());
+  call_manager_.offer(id, request, loop_.now());
   schedule_call_timer();
 }
 
--- a/src/edge/peer_link.cpp
+++ b/src/edge/peer_link.cpp
@@ -55,29 +55,29 @@
   watch_stream(Connection::kInitiated);
 }
 
-void PeerLink::watch_stream(Connection link) {
-  const std::shared_ptr<net::Stream> watched = stream(link);
+void PeerLink::watch_stream(Connection connection) {
+  const std::shared_ptr<net::Stream> watched = stream(connection);
   // Events of a stream that has been replaced are ignored.
   const std::weak_ptr<net::Stream> weak = watched;
-  const auto current = [this, link, weak] { return stream(link) == weak.lock(); };
+  const auto is_current = [this, connection, weak] { return stream(connection) == weak.lock(); };
   net::Stream::Handlers handlers;
-  const auto connected = std::make_shared<bool>(link == Connection::kAccepted);
-  handlers.on_connected = [this, current, connected] {
-    if (!current()) return;
+  const auto connected = std::make_shared<bool>(connection == Connection::kAccepted);
+  handlers.on_connected = [this, is_current, connected] {
+    if (!is_current()) return;
     *connected = true;
     peer_.on_connected(loop_.now());
     reschedule_timer();
   };
-  handlers.on_bytes = [this, link, current](std::string_view bytes) {
-    if (!current()) return;
-    peer_.on_received(link, bytes, loop_.now());
+  handlers.on_bytes = [this, connection, is_current](std::string_view bytes) {
+    if (!is_current()) return;
+    peer_.on_received(connection, bytes, loop_.now());
     reschedule_timer();
   };
-  handlers.on_closed = [this, link, current, connected](const std::string& reason) {
-    if (!current()) return;
-    stream(link).reset();
+  handlers.on_closed = [this, connection, is_current, connected](const std::string& reason) {
+    if (!is_current()) return;
+    stream(connection).reset();
     if (*connected) {
-      peer_.on_closed(link, loop_.now(), reason);
+      peer_.on_closed(connection, loop_.now(), reason);
     } else {
       peer_.on_connect_failed(loop_.now());
       if (handlers_.on_connect_failed) handlers_.on_connect_failed(reason);
@@ -87,13 +87,13 @@
   watched->set(std::move(handlers));
 }
 
-void PeerLink::send(Connection link, std::string bytes) {
-  if (stream(link)) stream(link)->write(bytes);
+void PeerLink::send(Connection connection, std::string bytes) {
+  if (stream(connection)) stream(connection)->write(bytes);
 }
 
-void PeerLink::close(Connection link) {
+void PeerLink::close(Connection connection) {
   // The last message (a DPA or an error answer) is still sent.
-  if (stream(link)) std::exchange(stream(link), nullptr)->close_after_flush();
+  if (stream(connection)) std::exchange(stream(connection), nullptr)->close_after_flush();
 }
 
 // The timer is only replaced if the state machine's deadline is earlier. One that fires too early is
--- a/src/edge/peer_link.hpp
+++ b/src/edge/peer_link.hpp
@@ -40,8 +40,8 @@
 
  private:
   void connect() override;
-  void send(diameter::Connection link, std::string bytes) override;
-  void close(diameter::Connection link) override;
+  void send(diameter::Connection connection, std::string bytes) override;
+  void close(diameter::Connection connection) override;
   void on_up() override { handlers_.on_up(); }
   void on_down(const std::string& reason) override { handlers_.on_down(reason); }
   void on_suspect_change(bool now_suspect) override { handlers_.on_suspect(now_suspect); }
@@ -50,10 +50,10 @@
   }
   void on_protocol_error(const std::string& what) override { handlers_.on_malformed(what); }
 
-  std::shared_ptr<net::Stream>& stream(diameter::Connection link) {
-    return streams_[link == diameter::Connection::kInitiated ? 0 : 1];
+  std::shared_ptr<net::Stream>& stream(diameter::Connection connection) {
+    return streams_[connection == diameter::Connection::kInitiated ? 0 : 1];
   }
-  void watch_stream(diameter::Connection link);
+  void watch_stream(diameter::Connection connection);
   void reschedule_timer();
 
   net::Loop& loop_;
--- a/src/edge/request_routing.cpp
+++ b/src/edge/request_routing.cpp
@@ -9,7 +9,7 @@
 
 // Encodes a Service-Identifier for Failed-AVP: as received or, if it was missing, with a minimal value (RFC
 // 6733 section 7.5).
-std::string service_identifier(std::uint32_t value) {
+std::string encode_service_identifier(std::uint32_t value) {
   diameter::Builder builder(diameter::Header{});
   builder.u32(diameter::avp::kServiceIdentifier, value);
   return builder.finish().substr(diameter::kHeaderSize);
@@ -24,10 +24,10 @@
   return out;
 }
 
-RealmTable::RealmTable(const std::string& own, const std::map<std::string, Action>& table,
+RealmTable::RealmTable(const std::string& own_realm, const std::map<std::string, Action>& table,
                        Action default_action)
     : default_action_(default_action) {
-  table_[case_folded(own)] = Action::kLocal;
+  table_[case_folded(own_realm)] = Action::kLocal;
   for (const auto& [realm, action] : table) table_[case_folded(realm)] = action;
 }
 
@@ -56,10 +56,10 @@
     out.index = *classes.fallback;
   } else if (call.service_identifier) {
     out.fault = diameter::Fault{
-        diameter::kInvalidAvpValue, service_identifier(*call.service_identifier),
+        diameter::kInvalidAvpValue, encode_service_identifier(*call.service_identifier),
         "Service-Identifier " + std::to_string(*call.service_identifier) + " names no class of calls here"};
   } else {
-    out.fault = diameter::Fault{diameter::kMissingAvp, service_identifier(0),
+    out.fault = diameter::Fault{diameter::kMissingAvp, encode_service_identifier(0),
                                 "Service-Identifier: missing, and calls without a class are refused"};
   }
   return out;
--- a/src/edge/request_routing.hpp
+++ b/src/edge/request_routing.hpp
@@ -21,9 +21,9 @@
 class RealmTable {
  public:
   enum class Action { kLocal, kRefuse };
-  // `own`: this node's realm, local unless the table says otherwise. Realms that are not in the table get
-  // `default_action`.
-  RealmTable(const std::string& own, const std::map<std::string, Action>& table, Action default_action);
+  // `own_realm`: this node's realm, local unless the table says otherwise. Realms that are not in the table
+  // get `default_action`.
+  RealmTable(const std::string& own_realm, const std::map<std::string, Action>& table, Action default_action);
   Action action_of(std::string_view realm) const;
   static std::string case_folded(std::string_view realm);
 
--- a/src/edge/results.cpp
+++ b/src/edge/results.cpp
@@ -7,14 +7,14 @@
 namespace mintrock::edge {
 namespace {
 
-struct Row {
+struct ResultRow {
   std::uint32_t result;
   const char* name;
   Outcome outcome;
   Cause cause;
 };
 
-constexpr Row kRows[] = {
+constexpr ResultRow kResults[] = {
     {3001, "DIAMETER_COMMAND_UNSUPPORTED", Outcome::kError, Cause::kUnfit},
     {3002, "DIAMETER_UNABLE_TO_DELIVER", Outcome::kFull, Cause::kTurnedBack},
     {3003, "DIAMETER_REALM_NOT_SERVED", Outcome::kError, Cause::kUnfit},
@@ -51,8 +51,8 @@
     {5031, "DIAMETER_RATING_FAILED", Outcome::kError, Cause::kRejected},
 };
 
-const Row* find_row(std::uint32_t result) {
-  for (const Row& row : kRows) {
+const ResultRow* find_row(std::uint32_t result) {
+  for (const ResultRow& row : kResults) {
     if (row.result == result) return &row;
   }
   return nullptr;
@@ -80,7 +80,7 @@
 ResultMeaning meaning_of(std::uint32_t result) {
   const ResultGroup group = group_of(result);
   if (group == ResultGroup::kSuccess) return {true, Outcome::kEnded, Cause::kNone};
-  if (const Row* row = find_row(result)) return {false, row->outcome, row->cause};
+  if (const ResultRow* row = find_row(result)) return {false, row->outcome, row->cause};
   // An unknown transient failure may succeed at the next attempt. Other unknown codes are not retried at the
   // same server.
   if (group == ResultGroup::kTransient) return {false, Outcome::kError, Cause::kNone};
@@ -88,7 +88,7 @@
 }
 
 std::string_view name_of_result(std::uint32_t result) {
-  const Row* row = find_row(result);
+  const ResultRow* row = find_row(result);
   return row != nullptr ? row->name : std::string_view();
 }
 
--- a/src/rules.cpp
+++ b/src/rules.cpp
@@ -91,7 +91,7 @@
 constexpr double kCutWindow = 0.3;      // s; kCutsToSuspect established calls cut within it mean a crash
 constexpr std::size_t kCutsToSuspect = 2;
 
-// Cold servers: the share of the permitted load that all senders together aim at. The rest covers random
+// Cold servers: the share of the permitted load that all senders together may use. The rest covers random
 // variation, retransmissions that are not visible here, and senders that use the quotas of two windows in one
 // surge.
 constexpr double kColdMargin = 0.7;
@@ -345,7 +345,7 @@
   }
 
   // Suspect servers are used only if there is no other candidate. One that is suspect only because of
-  // immediate faults is then worth every attempt that a call has: a fault costs the call almost nothing, and
+  // immediate faults may then get every attempt that a call has: a fault costs the call almost nothing, and
   // some attempts may succeed. Drawback: a server that answers nothing but faults does work for each of them.
   Server* draw_suspect(const Call& call) {
     for (auto& [id, server] : servers_) {
@@ -810,9 +810,9 @@
     if (server.consecutive_failures >= threshold || server.suspect) mark_suspect(server);
   }
 
-  // If calls are cut at most servers at the same time, no single server crashed. If all of them became
-  // suspect, no call could be set up. Drawback: if most servers did restart at the same time, they are
-  // treated as warm until they refuse connections or the list reports the restart.
+  // If calls are cut at more than half of the servers at the same time, no single server crashed. If all of
+  // them became suspect, no call could be set up. Drawback: if most servers did restart at the same time,
+  // they are treated as warm until they refuse connections or the list reports the restart.
   bool cuts_are_widespread() {
     std::size_t with_cuts = 0;
     std::size_t listed = 0;
--- a/tests/controller_test.cpp
+++ b/tests/controller_test.cpp
@@ -283,8 +283,8 @@
   Harness h;
   h.add_servers(2);
   Report report;
-  for (const double bad : {std::nan(""), -1.0, std::numeric_limits<double>::infinity()}) {
-    report.wait_s = report.spare = bad;
+  for (const double invalid : {std::nan(""), -1.0, std::numeric_limits<double>::infinity()}) {
+    report.wait_s = report.spare = invalid;
     h.handle(LoadNotice{10, report});
   }
   EXPECT_EQ(h.sent_to(h.new_call(1, 0)), 10u);
@@ -416,14 +416,14 @@
   h.add_servers(1);
   h.warm_up(10, 0, 0.05, 100);
   h.send_list({h.entry(20, 0, h.now)});
-  int last = 0;
+  int sent_late = 0;
   for (int i = 0; i < 800; ++i) {
     const int sent = h.send_count(h.new_call(1 + i, 0));
     h.advance_to(h.now + 0.01);
     if (sent) h.established(1 + i, 20, 0.01);
-    if (i >= 700) last += sent;
+    if (i >= 700) sent_late += sent;
   }
-  EXPECT_GT(last, 50);
+  EXPECT_GT(sent_late, 50);
 }
 
 // A cold core server answered every set-up with an error at once for three seconds. The errors were counted
@@ -604,14 +604,14 @@
   EXPECT_LE(unanswered, 4) << "two, and somewhat more than was answered";
   for (int i = 0; i < 20; ++i) h.handle(CallAbandoned{static_cast<CallId>(60 + i)});
   h.advance_to(h.now + 2);
-  int last = 0;
+  int sent_late = 0;
   for (int i = 0; i < 300; ++i) {
     const int sent = h.send_count(h.new_call(100 + i, 0));
-    if (i >= 200) last += sent;
+    if (i >= 200) sent_late += sent;
     h.advance_to(h.now + 0.01);
     if (sent) h.established(100 + i, 10, 0.01);
   }
-  EXPECT_GT(last, 80) << "full traffic well within the warm-up time";
+  EXPECT_GT(sent_late, 80) << "full traffic well within the warm-up time";
 }
 
 // A set-up sent before the failure says nothing about the server after it.
@@ -788,12 +788,12 @@
   h.add_servers(2);
   h.warm_up(10, 0, 0.05);
   h.warm_up(11, 1, 0.05);
-  int met = 0;
+  int rejected = 0;
   for (CallId id = 1; id <= 60; ++id) {
     std::uint32_t attempt = 0;
     auto out = h.new_call(id, 0);
     if (h.sent_to(out) == 10) {
-      met += 1;
+      rejected += 1;
       h.advance_to(h.now + 0.001);
       out = h.ended(id, 10, Outcome::kError, Cause::kUnfit);
       attempt = 1;
@@ -803,8 +803,8 @@
     h.established(id, 11, 0.02, attempt);
     h.ended(id, 11, Outcome::kEnded, Cause::kNone, attempt, 0, true);
   }
-  EXPECT_GE(met, 6);
-  EXPECT_LE(met, 12);
+  EXPECT_GE(rejected, 6);
+  EXPECT_LE(rejected, 12);
 }
 
 // Calls that no server accepts must not make servers suspect: a fault of one caller would close the servers
@@ -1062,15 +1062,15 @@
   Report r;
   r.spare = 3;
   r.total = 1000;
-  int cheap = 0;
+  int low = 0;
   for (CallId id = 1; id <= 40; ++id) {
     h.handle(LoadNotice{10, r});
     const auto actions = h.new_call(id, 0, 3, 0);
-    cheap += h.send_count(actions);
+    low += h.send_count(actions);
     h.handle(CallAbandoned{id});
     h.advance_to(h.now + 1);
   }
-  EXPECT_LE(cheap, 10);
+  EXPECT_LE(low, 10);
   h.handle(LoadNotice{10, r});
   EXPECT_EQ(h.send_count(h.new_call(100, 0, 3, 1)), 1) << "the highest value";
 }
@@ -1212,7 +1212,7 @@
   Harness h;
   h.add_servers(1);
   std::multimap<Time, std::pair<CallId, std::uint32_t>> answers;
-  std::multimap<Time, std::pair<CallId, std::uint32_t>> ends;  // time-outs of attempts whose answers are lost
+  std::multimap<Time, std::pair<CallId, std::uint32_t>> timeouts;  // of attempts whose answers are lost
   std::map<CallId, std::uint32_t> attempts;
   int offered = 0;
   int turned_away = 0;
@@ -1222,7 +1222,7 @@
       if (const auto* send = std::get_if<SendSetup>(&a)) {
         const std::uint32_t attempt = attempts[send->call]++;
         const bool lost = ++sent % 3 == 0 && h.now > 104;
-        (lost ? ends : answers)
+        (lost ? timeouts : answers)
             .emplace(h.now + (lost ? send->give_up_after_s : 0.02), std::pair(send->call, attempt));
       } else if (const auto* cancel = std::get_if<CancelAttempt>(&a)) {
         self(h.ended(cancel->call, 10, Outcome::kCancelled, Cause::kNone, cancel->attempt), self);
@@ -1240,9 +1240,9 @@
       carry_out(h.established(id, 10, 0.02, attempt), carry_out);
       carry_out(h.ended(id, 10, Outcome::kEnded, Cause::kNone, attempt, 0, true), carry_out);
     }
-    while (!ends.empty() && ends.begin()->first <= h.now) {
-      const auto [id, attempt] = ends.begin()->second;
-      ends.erase(ends.begin());
+    while (!timeouts.empty() && timeouts.begin()->first <= h.now) {
+      const auto [id, attempt] = timeouts.begin()->second;
+      timeouts.erase(timeouts.begin());
       carry_out(h.ended(id, 10, Outcome::kTimedOut, Cause::kNone, attempt), carry_out);
     }
     if (tick % 5 != 0) continue;  // 40 calls/s
--- a/tests/edge/call_manager_test.cpp
+++ b/tests/edge/call_manager_test.cpp
@@ -345,10 +345,11 @@
       check_sent();
     }
     h.advance_to(now + 10);
-    const auto counts = h.manager->counters();
+    const auto counters = h.manager->counters();
     EXPECT_EQ(h.manager->pending(), 0u);
-    EXPECT_EQ(counts.overdue, 0u);
-    EXPECT_EQ(counts.offered, counts.established + counts.refused + counts.failed + counts.abandoned);
+    EXPECT_EQ(counters.overdue, 0u);
+    EXPECT_EQ(counters.offered,
+              counters.established + counters.refused + counters.failed + counters.abandoned);
     for (const auto& [id, answers] : h.answers) EXPECT_LE(answers.size(), 1u);
     EXPECT_LE(h.manager->timers(), 3u) << "timers must not accumulate";
   }
--- a/tests/edge/core_sessions_test.cpp
+++ b/tests/edge/core_sessions_test.cpp
@@ -70,10 +70,10 @@
   const auto ended = s.on_connection_lost(2);
   ASSERT_EQ(ended.size(), 1u) << "the set-up in flight; its answer may be lost";
   EXPECT_EQ(ended[0].call, 2u);
-  const auto back = s.on_connected(1, 3);
-  EXPECT_TRUE(back.cut.empty());
+  const auto reconnection = s.on_connected(1, 3);
+  EXPECT_TRUE(reconnection.cut.empty());
   std::set<std::string> sessions;
-  for (const auto& each : back.releases_to_send) sessions.insert(each->session_id);
+  for (const auto& each : reconnection.releases_to_send) sessions.insert(each->session_id);
   EXPECT_EQ(sessions, (std::set<std::string>{"in flight", "ending"}));
   EXPECT_EQ(s.established(), 1u);
   EXPECT_GT(s.deadline(), 1e15) << "no hold time is running any more";
@@ -85,10 +85,10 @@
   s.on_answer(10, "established", true);
   s.on_setup_sent({2, 0}, record("in flight"), 11);
   s.on_connection_lost(2);
-  const auto back = s.on_connected(2, 3);
-  ASSERT_EQ(back.cut.size(), 1u);
-  EXPECT_EQ(back.cut[0].call, 1u);
-  EXPECT_TRUE(back.releases_to_send.empty()) << "the new process holds nothing";
+  const auto reconnection = s.on_connected(2, 3);
+  ASSERT_EQ(reconnection.cut.size(), 1u);
+  EXPECT_EQ(reconnection.cut[0].call, 1u);
+  EXPECT_TRUE(reconnection.releases_to_send.empty()) << "the new process holds nothing";
   EXPECT_EQ(s.pending_releases(), 0u);
 }
 
@@ -142,7 +142,7 @@
     bool connected = true;
     std::set<std::string> held;                           // sessions at the server
     std::map<std::uint32_t, std::string> asked, answers;  // set-ups in flight, answers in flight
-    std::map<CallId, int> ended, begun;
+    std::map<CallId, int> ended, started;
     std::vector<CallId> established_calls;
     double now = 0;
     const auto end = [&](const std::vector<CoreSessions::Attempt>& attempts) {
@@ -165,9 +165,9 @@
         state += 1;
         held.clear();
       }
-      const auto back = s.on_connected(state, now);
-      end(back.cut);
-      for (const auto& each : back.releases_to_send) {
+      const auto reconnection = s.on_connected(state, now);
+      end(reconnection.cut);
+      for (const auto& each : reconnection.releases_to_send) {
         s.on_release_sent(each, ++hop, now);
         held.erase(each->session_id);
         s.on_answer(hop, each->session_id, false);
@@ -178,7 +178,7 @@
       reconnect();
       const std::string session = "s" + std::to_string(call);
       s.on_setup_sent({call, 0}, record(session), ++hop);
-      begun[call] = 1;
+      started[call] = 1;
       const std::uint32_t setup_hop = hop;
       if (random() % 5 != 0) held.insert(session);
       const bool established = held.count(session) != 0;
@@ -220,7 +220,8 @@
     end(s.on_connection_lost(now));
     connected = false;
     reconnect();
-    for (const auto& [call, times] : begun) EXPECT_EQ(ended[call], 1) << "call " << call << ", seed " << seed;
+    for (const auto& [call, times] : started)
+      EXPECT_EQ(ended[call], 1) << "call " << call << ", seed " << seed;
     EXPECT_TRUE(held.empty()) << held.size() << " left at the server, seed " << seed;
     EXPECT_EQ(s.in_flight() + s.established(), 0u);
   }
--- a/tests/edge/edge_test.cpp
+++ b/tests/edge/edge_test.cpp
@@ -57,8 +57,8 @@
   std::function<void(Line&, const MessageView&)> on_setup;        // CCR INITIAL
   std::function<void(Line&, const MessageView&)> on_termination;  // CCR TERMINATION; unset: success
   std::map<std::string, std::string> answers;  // last set-up answer of each session, encoded
-  std::map<std::string, std::vector<std::uint32_t>> end_results;  // of terminations, by session
-  int setups = 0, ends = 0, aborts = 0, dprs = 0, ceas = 0;
+  std::map<std::string, std::vector<std::uint32_t>> termination_results;  // by session
+  int setups = 0, terminations = 0, aborts = 0, dprs = 0, ceas = 0;
   bool answer_cer = true;
   bool answer_dpr = true;
   std::map<std::string, std::vector<std::uint32_t>> results;  // of set-ups, by session
@@ -120,7 +120,7 @@
         results[session_of(view)].push_back(result_of(view));
         answers[session_of(view)] = bytes_of(view);
       } else if (view.header.command == diameter::kCreditControl) {
-        end_results[session_of(view)].push_back(result_of(view));
+        termination_results[session_of(view)].push_back(result_of(view));
       }
       return;
     }
@@ -141,7 +141,7 @@
           setups += 1;
           if (on_setup) on_setup(line, view);
         } else {
-          ends += 1;
+          terminations += 1;
           if (on_termination) return on_termination(line, view);
           send_success(line, view);
         }
@@ -185,7 +185,7 @@
                    [this, weak = std::weak_ptr<net::Stream>(stream)](std::string_view) {
                      if (const auto s = weak.lock()) {
                        s->write("HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n\r\n");
-                       s->write("data: " + list_update(1, true, state) + "\n\n");
+                       s->write("data: " + list_update(1, true, listed_state) + "\n\n");
                      }
                    },
                    {}});
@@ -242,11 +242,11 @@
   }
   void wait_until(const std::function<bool()>& condition, const std::string& name) {
     const double deadline = loop.now() + kWaitTimeout;
-    std::function<void()> look = [&] {
+    std::function<void()> poll = [&] {
       if (condition() || loop.now() > deadline) return loop.stop();
-      loop.after(0.0005, look);
+      loop.after(0.0005, poll);
     };
-    look();
+    poll();
     if (!condition()) loop.run();
     ASSERT_TRUE(condition()) << name;
   }
@@ -256,7 +256,7 @@
   net::Address core_at;
   std::unique_ptr<net::Listener> list;
   std::vector<std::shared_ptr<net::Stream>> subscribers;
-  ServerEntry::State state = ServerEntry::State::kReady;
+  ServerEntry::State listed_state = ServerEntry::State::kReady;
   std::string config_file;
   Config last_config;
   std::unique_ptr<Edge> edge;
@@ -284,7 +284,7 @@
   EXPECT_EQ(caller.results["s1"][0], diameter::kSuccess);
   EXPECT_EQ(edge->established_calls(), 1u);
   caller.send_ccr("s1", 3, 8);
-  wait_until([&] { return core.ends == 1; }, "the termination reaches the core server");
+  wait_until([&] { return core.terminations == 1; }, "the termination reaches the core server");
   EXPECT_EQ(edge->established_calls(), 0u);
 }
 
@@ -295,7 +295,7 @@
   for (std::uint32_t i = 0; i < 2; ++i) caller.send_ccr("s" + std::to_string(i), 1, i);
   wait_until([&] { return core.setups == 2; }, "both set-ups are sent");
   caller.connections.back()->reset();
-  wait_until([&] { return core.ends == 2; }, "both are released");
+  wait_until([&] { return core.terminations == 2; }, "both are released");
   EXPECT_EQ(edge->pending_calls(), 0u);
   EXPECT_EQ(edge->call_counters().abandoned, 2u);
 }
@@ -313,10 +313,10 @@
   caller.send_ccr("late", 1, 1, "", 150);
   wait_until([&] { return caller.results["late"].size() == 1; }, "the timeout answer");
   EXPECT_NE(caller.results["late"][0], diameter::kSuccess);
-  wait_until([&] { return core.ends == 1; }, "given up and released");
+  wait_until([&] { return core.terminations == 1; }, "given up and released");
   ASSERT_FALSE(diameter::decode(kept.bytes, kept.view));
   core.send_success(*core.connections.back(), kept.view);
-  wait_until([&] { return core.ends == 2; }, "released again after the late success");
+  wait_until([&] { return core.terminations == 2; }, "released again after the late success");
   EXPECT_EQ(caller.results["late"].size(), 1u);
   EXPECT_EQ(edge->core_counters().late_established, 1u);
 }
@@ -439,7 +439,7 @@
   core.connections[0]->reset();
   wait_until([&] { return core.connections.size() == 2; }, "the proxy reconnects");
   caller.send_ccr("established", 3, 2);
-  wait_until([&] { return core.ends == 1; }, "the termination still reaches the server");
+  wait_until([&] { return core.terminations == 1; }, "the termination still reaches the server");
   EXPECT_EQ(caller.aborts, 0);
 }
 
@@ -452,7 +452,7 @@
   core.connections[0]->reset();
   wait_until([&] { return caller.aborts == 1; }, "the caller is sent an ASR");
   EXPECT_EQ(edge->established_calls(), 0u);
-  EXPECT_EQ(core.ends, 0) << "the new process does not hold the call";
+  EXPECT_EQ(core.terminations, 0) << "the new process does not hold the call";
 }
 
 // A set-up whose connection was lost may still have been established: it is released once the server is back.
@@ -462,7 +462,7 @@
   core.on_setup = [](Line& line, const MessageView&) { line.reset(); };
   caller.send_ccr("lost", 1, 1);
   wait_until([&] { return caller.results["lost"].size() == 1; }, "an answer");
-  wait_until([&] { return core.ends == 1; }, "the release reaches the server");
+  wait_until([&] { return core.terminations == 1; }, "the release reaches the server");
 }
 
 // The server starts to drain while a set-up waits for its connection: the set-up must not be sent once the
@@ -492,7 +492,7 @@
   EXPECT_EQ(core.dprs, 0) << "it still holds a call";
   caller.send_ccr("last", 3, 3);
   wait_until([&] { return core.dprs == 1; }, "disconnected");
-  EXPECT_EQ(core.ends, 1);
+  EXPECT_EQ(core.terminations, 1);
   publish(3, ServerEntry::State::kReady);
   wait_until([&] { return core.connections.size() == 2; }, "connected again");
 }
@@ -625,14 +625,14 @@
 TEST_F(EdgeTest, PlainPeersReceiveOnlyRfcAvps) {
   start([](Config& c) { c.core.plain = c.callers.plain = true; });
   connect();
-  const auto foreign = [](const MessageView& view) {
+  const auto count_vendor_avps = [](const MessageView& view) {
     int count = 0;
     for (const auto& each : view.avps) count += each.vendor != 0;
     return count;
   };
-  int seen = -1;
+  int vendor_avps = -1;
   core.on_setup = [&](Line& line, const MessageView& view) {
-    seen = foreign(view);
+    vendor_avps = count_vendor_avps(view);
     Builder b(diameter::answer_header(view.header, true));
     b.raw(view.find(avp::kSessionId.code)->encoded).u32(avp::kResultCode, diameter::kTooBusy);
     b.text(avp::kOriginHost, core.host).text(avp::kOriginRealm, "test");
@@ -640,10 +640,10 @@
   };
   caller.send_ccr("s", 1, 1);
   wait_until([&] { return caller.answers.count("s") == 1; }, "an answer");
-  EXPECT_EQ(seen, 0);
+  EXPECT_EQ(vendor_avps, 0);
   MessageView view;
   ASSERT_FALSE(diameter::decode(caller.answers["s"], view));
-  EXPECT_EQ(foreign(view), 0);
+  EXPECT_EQ(count_vendor_avps(view), 0);
   EXPECT_NE(view.find(avp::kErrorMessage.code)->data.find("come back after"), std::string::npos);
 }
 
@@ -653,16 +653,16 @@
   connect();
   Builder extra{Header{}};
   extra.text(avp::kSubscriptionId, "any payload").u32(avp::kValidityTime, 60);
-  bool passed = false;
+  bool forwarded = false;
   core.on_setup = [&](Line& line, const MessageView& view) {
     const auto* found = view.find(avp::kSubscriptionId.code);
-    passed = found != nullptr && found->data == "any payload";
+    forwarded = found != nullptr && found->data == "any payload";
     core.send_success(line, view);
   };
   caller.send_ccr("s", 1, 1, extra.finish().substr(20));
   wait_until([&] { return caller.results["s"].size() == 1; }, "an answer");
   EXPECT_EQ(caller.results["s"][0], diameter::kSuccess);
-  EXPECT_TRUE(passed);
+  EXPECT_TRUE(forwarded);
 }
 
 TEST_F(EdgeTest, RequestForAnotherRealmIsRejectedWith3003) {
@@ -671,10 +671,10 @@
   caller.send_ccr("other", 1, 1, "", 5000, 0, "elsewhere.example");
   caller.send_ccr("guest", 1, 2, "", 5000, 0, "Guest.Test");
   caller.send_ccr("none", 3, 3, "", 5000, 0, "elsewhere.example");
-  wait_until([&] { return caller.results.size() == 2 && caller.end_results.size() == 1; }, "answers");
+  wait_until([&] { return caller.results.size() == 2 && caller.termination_results.size() == 1; }, "answers");
   EXPECT_EQ(caller.results["other"], (std::vector<std::uint32_t>{diameter::kRealmNotServed}));
   EXPECT_EQ(caller.results["guest"], (std::vector<std::uint32_t>{diameter::kSuccess}));
-  EXPECT_EQ(caller.end_results["none"], (std::vector<std::uint32_t>{diameter::kRealmNotServed}));
+  EXPECT_EQ(caller.termination_results["none"], (std::vector<std::uint32_t>{diameter::kRealmNotServed}));
   EXPECT_EQ(core.setups, 1);
 }
 
@@ -705,16 +705,16 @@
   core.on_termination = [&](Line&, const MessageView& view) { kept = bytes_of(view); };
   caller.send_ccr("s", 3, 2);
   wait_until([&] { return !kept.empty(); }, "the termination reaches the core server");
-  EXPECT_TRUE(caller.end_results.empty());
+  EXPECT_TRUE(caller.termination_results.empty());
   caller.send_ccr("s", 3, 2, "", 5000, diameter::kRetransmitted);
   caller.send_ccr("behind", 1, 3);
   wait_until([&] { return caller.results["behind"].size() == 1; }, "the earlier messages have been read");
   MessageView view;
   ASSERT_FALSE(diameter::decode(kept, view));
   core.send_success(*core.connections.back(), view);
-  wait_until([&] { return caller.end_results["s"].size() == 1; }, "confirmed");
-  EXPECT_EQ(caller.end_results["s"][0], diameter::kSuccess);
-  EXPECT_EQ(core.ends, 1) << "the retransmission is not sent again";
+  wait_until([&] { return caller.termination_results["s"].size() == 1; }, "confirmed");
+  EXPECT_EQ(caller.termination_results["s"][0], diameter::kSuccess);
+  EXPECT_EQ(core.terminations, 1) << "the retransmission is not sent again";
 }
 
 // A call's proxy failed before the caller learnt which core server holds the call.
@@ -722,9 +722,9 @@
   start();
   connect();
   caller.send_ccr("lost", 3, 1);
-  wait_until([&] { return caller.end_results["lost"].size() == 1; }, "an answer");
-  EXPECT_EQ(core.ends, 1);
-  EXPECT_EQ(caller.end_results["lost"][0], diameter::kSuccess);
+  wait_until([&] { return caller.termination_results["lost"].size() == 1; }, "an answer");
+  EXPECT_EQ(core.terminations, 1);
+  EXPECT_EQ(caller.termination_results["lost"][0], diameter::kSuccess);
   core.on_termination = [&](Line& line, const MessageView& view) {
     diameter::LocalNode local;
     local.host = core.host;
@@ -732,8 +732,8 @@
     line.send(diameter::error_answer(local, view, diameter::kUnknownSessionId, {}, ""));
   };
   caller.send_ccr("nobodys", 3, 2);
-  wait_until([&] { return caller.end_results["nobodys"].size() == 1; }, "an answer");
-  EXPECT_EQ(caller.end_results["nobodys"][0], diameter::kUnknownSessionId);
+  wait_until([&] { return caller.termination_results["nobodys"].size() == 1; }, "an answer");
+  EXPECT_EQ(caller.termination_results["nobodys"][0], diameter::kUnknownSessionId);
 }
 
 TEST_F(EdgeTest, UnconfirmedTerminationIsAnsweredAtItsTimeout) {
@@ -741,8 +741,8 @@
   connect();
   core.on_termination = [](Line&, const MessageView&) {};
   caller.send_ccr("s", 3, 1);
-  wait_until([&] { return caller.end_results["s"].size() == 1; }, "an answer");
-  EXPECT_EQ(caller.end_results["s"][0], diameter::kUnableToDeliver);
+  wait_until([&] { return caller.termination_results["s"].size() == 1; }, "an answer");
+  EXPECT_EQ(caller.termination_results["s"][0], diameter::kUnableToDeliver);
 }
 
 // After a restart without a list server, calls are routed by the stored list; the first update is applied at
@@ -770,7 +770,7 @@
   caller.send_ccr("s", 1, 1);
   wait_until([&] { return caller.results["s"].size() == 1; }, "an answer");
   EXPECT_EQ(caller.results["s"][0], diameter::kSuccess);
-  state = ServerEntry::State::kDraining;
+  listed_state = ServerEntry::State::kDraining;
   start_list_server(list_at);
   wait_until([&] { return edge->list_revision() == 1; }, "the first update");
   const int before = core.setups;
--- a/tests/edge/request_routing_test.cpp
+++ b/tests/edge/request_routing_test.cpp
@@ -1,4 +1,4 @@
-// Which realms are served, which class a call gets, and which errors answer the rest.
+// Tests which realms are served, which class a call gets, and the errors that answer other requests.
 #include "edge/request_routing.hpp"
 
 #include <gtest/gtest.h>
--- a/tests/edge/results_test.cpp
+++ b/tests/edge/results_test.cpp
@@ -53,48 +53,48 @@
 }
 
 TEST(AnswerMonitor, RateLimitsWarningsAndCountsErrors) {
-  AnswerMonitor watch;
+  AnswerMonitor monitor;
   const std::string avp = failed_avp(diameter::avp::kCalledStationId);
-  EXPECT_FALSE(watch.record_answer(0, 2001, ""));
-  const auto first = watch.record_answer(1, 5001, avp);
+  EXPECT_FALSE(monitor.record_answer(0, 2001, ""));
+  const auto first = monitor.record_answer(1, 5001, avp);
   ASSERT_TRUE(first);
   EXPECT_EQ(first->result, 5001u);
   EXPECT_EQ(first->failed_avp, "Called-Station-Id (30)");
-  for (int i = 0; i < 100; ++i) EXPECT_FALSE(watch.record_answer(2 + 0.01 * i, 5001, avp));
-  const auto later = watch.record_answer(11.5, 5012, "");
+  for (int i = 0; i < 100; ++i) EXPECT_FALSE(monitor.record_answer(2 + 0.01 * i, 5001, avp));
+  const auto later = monitor.record_answer(11.5, 5012, "");
   ASSERT_TRUE(later);
   EXPECT_EQ(later->errors, 101u) << "the errors since the last warning, and this one";
-  EXPECT_EQ(watch.counts_by_result().at(5001), 101u);
+  EXPECT_EQ(monitor.counts_by_result().at(5001), 101u);
 }
 
 TEST(AnswerMonitor, DistinguishesOnlyErrorsFromOccasionalOnes) {
-  AnswerMonitor watch;
-  for (int i = 0; i < 4; ++i) watch.record_answer(i, 5001, "");
-  EXPECT_FALSE(watch.errors_only());
-  watch.record_answer(4, 2001, "");
-  for (int i = 0; i < 4; ++i) watch.record_answer(5 + i, 5001, "");
-  EXPECT_FALSE(watch.errors_only());
-  watch.record_answer(9, 5001, "");
-  EXPECT_TRUE(watch.errors_only());
-  watch.record_answer(10, 3004, "");
-  EXPECT_FALSE(watch.errors_only()) << "an overloaded server is not faulty";
+  AnswerMonitor monitor;
+  for (int i = 0; i < 4; ++i) monitor.record_answer(i, 5001, "");
+  EXPECT_FALSE(monitor.errors_only());
+  monitor.record_answer(4, 2001, "");
+  for (int i = 0; i < 4; ++i) monitor.record_answer(5 + i, 5001, "");
+  EXPECT_FALSE(monitor.errors_only());
+  monitor.record_answer(9, 5001, "");
+  EXPECT_TRUE(monitor.errors_only());
+  monitor.record_answer(10, 3004, "");
+  EXPECT_FALSE(monitor.errors_only()) << "an overloaded server is not faulty";
 }
 
 // An unknown user or a busy number is the caller's own fault and raises no warning; a server that answers
 // nothing else does.
 TEST(AnswerMonitor, CallFaultsRaiseAWarningOnlyIfNothingElseIsAnswered) {
-  AnswerMonitor watch;
-  EXPECT_FALSE(watch.record_answer(0, 5030, ""));
-  EXPECT_FALSE(watch.record_answer(1, 4010, ""));
-  for (int i = 0; i < 4; ++i) EXPECT_FALSE(watch.record_answer(2 + i, 5030, ""));
-  EXPECT_TRUE(watch.record_answer(7, 5030, ""));
+  AnswerMonitor monitor;
+  EXPECT_FALSE(monitor.record_answer(0, 5030, ""));
+  EXPECT_FALSE(monitor.record_answer(1, 4010, ""));
+  for (int i = 0; i < 4; ++i) EXPECT_FALSE(monitor.record_answer(2 + i, 5030, ""));
+  EXPECT_TRUE(monitor.record_answer(7, 5030, ""));
 }
 
 TEST(AnswerMonitor, BoundsTheNumberOfCodes) {
-  AnswerMonitor watch;
-  for (std::uint32_t i = 0; i < 1000; ++i) watch.record_answer(0, 10000 + i, "");
-  EXPECT_LE(watch.counts_by_result().size(), AnswerMonitor::kMaxCodes + 1);
-  EXPECT_EQ(watch.counts_by_result().at(0), 1000 - AnswerMonitor::kMaxCodes);
+  AnswerMonitor monitor;
+  for (std::uint32_t i = 0; i < 1000; ++i) monitor.record_answer(0, 10000 + i, "");
+  EXPECT_LE(monitor.counts_by_result().size(), AnswerMonitor::kMaxCodes + 1);
+  EXPECT_EQ(monitor.counts_by_result().at(0), 1000 - AnswerMonitor::kMaxCodes);
 }
 
 }  // namespace
