--- a/src/edge/call_manager.hpp
+++ b/src/edge/call_manager.hpp
@@ -104,8 +104,8 @@
   void on_ended(CallId call, std::uint32_t attempt, Outcome outcome, Cause cause, double advised_wait_s,
                 const Report& report, double now);
 
-  // An earlier attempt that was given up did run, or may have run, and its call has ended. The call is over
-  // and fails, whichever attempt is in flight now. Has no effect on an established call.
+  // An earlier attempt that was given up did run, or may have run, and the call that it set up has ended. The
+  // call fails, whichever attempt is in flight now. Has no effect on an established call.
   void on_earlier_attempt_ended(CallId call, double now);
 
   // The core side ended an established call; does not need the number of the attempt that established it.
@@ -167,7 +167,7 @@
   void finish_setup(CallId id, const SetupResult& result, double now);
   void end_attempt(CallId id, Call& call, Outcome outcome, Cause cause, double advised_wait_s,
                    const Report& report, double now);
-  // The core side ended the call of the current attempt before its answer arrived: the call ran and is over.
+  // The core side ended the call of the current attempt before its answer arrived: the call ran and ended.
   void end_unanswered(CallId id, Call& call, const Report& report, double now);
   void end_established(CallId id, const Call& call, Outcome outcome, const Report& report, double now);
   void give_up(CallId id, std::uint32_t attempt);
--- a/src/edge/credit_control.hpp
+++ b/src/edge/credit_control.hpp
@@ -17,7 +17,7 @@
 
 namespace mintrock::edge {
 
-// The contents of a set-up request, independent of the front that received it.
+// The contents of a set-up request, independent of the front end that received it.
 struct CallRecord {
   std::string from_peer;  // the peer that sent the request, for Route-Record (RFC 6733 6.1.9)
   std::string session_id;
--- a/src/edge/diameter_front.hpp
+++ b/src/edge/diameter_front.hpp
@@ -1,4 +1,4 @@
-// The Diameter front for callers: accepts their connections, reads set-ups and terminations, and sends
+// The Diameter front end for callers: accepts their connections, reads set-ups and terminations, and sends
 // answers and cuts.
 #ifndef MINTROCK_SRC_EDGE_DIAMETER_FRONT_HPP_
 #define MINTROCK_SRC_EDGE_DIAMETER_FRONT_HPP_
--- a/src/edge/edge.cpp
+++ b/src/edge/edge.cpp
@@ -183,7 +183,7 @@
   });
 }
 
-// ---- Fronts ----
+// ---- Requests of the front ends ----
 
 void Edge::offer(Front& front, CallId id, RecordPtr record, bool peer_reopening) {
   CallRequest request;
@@ -542,7 +542,7 @@
   schedule_call_timer();
 }
 
-// ---- Operators ----
+// ---- Requests of operators ----
 
 void Edge::reload() {
   Config reloaded;
--- a/src/edge/edge.hpp
+++ b/src/edge/edge.hpp
@@ -1,5 +1,5 @@
-// The edge proxy: connects the front, the call manager, the core side, the server list and the other proxies
-// on one event loop.
+// The edge proxy: connects the front end, the call manager, the core side, the server list and the other
+// proxies on one event loop.
 //
 // This class makes no decisions: it passes events to the call manager and carries out the manager's requests.
 #ifndef MINTROCK_SRC_EDGE_EDGE_HPP_
