--- a/src/lab/bench.cpp
+++ b/src/lab/bench.cpp
@@ -175,7 +175,7 @@
       ready_ = true;
       return loop_.stop();
     }
-    if (view.header.request()) {
+    if (view.header.is_request()) {
       if (view.header.command == diameter::kDeviceWatchdog) {
         connection_->send(make_base_answer(view, name_, 1));
       }
@@ -253,7 +253,7 @@
     const std::uint64_t id = ++last_connection_id;
     TracedConnection::Handlers handlers;
     handlers.on_message = [&, id](const MessageView& view) {
-      if (!view.header.request()) return;
+      if (!view.header.is_request()) return;
       const bool cer = view.header.command == diameter::kCapabilitiesExchange;
       connections.at(id)->send(cer ? make_base_answer(view, kCore, 1) : edge::write_success(view, local));
     };
@@ -288,7 +288,7 @@
   from_core.on_open = [&] { core->send(make_cer("relay.lab.test", 1, 1)); };
   from_core.on_message = [&](const MessageView& view) {
     const auto route = routes.find(view.header.hop_by_hop);
-    if (view.header.request() || route == routes.end()) return;
+    if (view.header.is_request() || route == routes.end()) return;
     const auto caller = callers.find(route->second.caller);
     if (caller != callers.end() && route->second.session == edge::session_of(view)) {
       std::string frame = frame_of(view);
@@ -305,7 +305,7 @@
     const std::uint64_t id = ++last_connection_id;
     TracedConnection::Handlers handlers;
     handlers.on_message = [&, id](const MessageView& view) {
-      if (!view.header.request()) return;
+      if (!view.header.is_request()) return;
       if (view.header.command == diameter::kCapabilitiesExchange) {
         return callers.at(id)->send(make_base_answer(view, "relay.lab.test", 1));
       }
--- a/src/lab/call.cpp
+++ b/src/lab/call.cpp
@@ -167,7 +167,7 @@
   }
 
   void handle_message(const MessageView& view) {
-    if (view.header.request()) return handle_request(view);
+    if (view.header.is_request()) return handle_request(view);
     if (view.header.command == diameter::kCapabilitiesExchange) {
       const auto* result = view.find(avp::kResultCode.code);
       ready_ = result != nullptr && diameter::as_u32(*result) == diameter::kSuccess;
--- a/src/lab/checker.cpp
+++ b/src/lab/checker.cpp
@@ -137,7 +137,7 @@
 
   void on_caller_frame(const v1::Record& record, const diameter::MessageView& view,
                        const std::string& session) {
-    const bool request = view.header.request();
+    const bool request = view.header.is_request();
     if (view.header.command == diameter::kAbortSession && request && !record.outgoing()) {
       const auto found = tries_.find(session);
       if (found != tries_.end()) found->second.cut = std::min(found->second.cut, record.time());
@@ -173,7 +173,7 @@
 
   void on_core_frame(const v1::Record& record, const diameter::MessageView& view,
                      const std::string& session) {
-    const bool request = view.header.request();
+    const bool request = view.header.is_request();
     if (view.header.command == diameter::kAbortSession && request && record.outgoing()) {
       if (Attempt* last = latest_attempt(session, record.who())) last->session_lost = record.time();
       return;
--- a/src/lab/core.cpp
+++ b/src/lab/core.cpp
@@ -199,7 +199,7 @@
 
   void handle_message(std::uint64_t id, const MessageView& view) {
     TracedConnection& connection = *connections_.at(id);
-    if (!view.header.request()) return;
+    if (!view.header.is_request()) return;
     switch (view.header.command) {
       case diameter::kCapabilitiesExchange: {
         const auto* host = view.find(avp::kOriginHost.code);
