--- a/src/diameter/dictionary.cpp
+++ b/src/diameter/dictionary.cpp
@@ -291,7 +291,8 @@
 std::optional<Fault> validate(const MessageView& message) {
   const Grammar* grammar = nullptr;
   for (const Grammar& each : grammars()) {
-    if (each.command == message.header.command && each.request == message.header.is_request()) grammar = &each;
+    if (each.command == message.header.command && each.request == message.header.is_request())
+      grammar = &each;
   }
   if (grammar == nullptr) return std::nullopt;
   for (const AvpView& avp : message.avps) {
--- a/src/edge/call_manager.cpp
+++ b/src/edge/call_manager.cpp
@@ -88,7 +88,7 @@
   call.state = View::State::kInFlight;
   counters_.attempts += 1;
   call.give_up_timer = timers_.schedule(now + action.give_up_after_s,
-                                  [this, id = action.call, attempt] { give_up(id, attempt); });
+                                        [this, id = action.call, attempt] { give_up(id, attempt); });
   const SendResult send_result =
       delegate_.send_setup(action.call, attempt, action.server, action.give_up_after_s);
   if (send_result == SendResult::kAccepted) return;
--- a/src/edge/edge.cpp
+++ b/src/edge/edge.cpp
@@ -420,7 +420,8 @@
   ServerList cached = server_list_.to_server_list(update, ServerList::Mode::kCached, now, current.wall);
   std::vector<membership::AssessedEntry> kept;
   for (std::size_t i = 0; i < loaded.entries.size(); ++i) {
-    const membership::Age age = membership::confirmation_age(loaded.entries[i].last_confirmed, stored, current);
+    const membership::Age age =
+        membership::confirmation_age(loaded.entries[i].last_confirmed, stored, current);
     membership::Evidence evidence;
     evidence.confirmed_age_s = age.seconds;
     evidence.clock_unreliable = age.unreliable || !loaded.intact;  // the damaged part may have held the age
--- a/src/list/client.cpp
+++ b/src/list/client.cpp
@@ -40,14 +40,16 @@
   } catch (const std::exception&) {
     return fail("no file descriptor available");
   }
-  stream_->set_handlers(
-      {[this] {
-         std::string request = "GET " + path_ + " HTTP/1.1\r\nHost: " + server_.str() +
+  stream_->set_handlers({[this] {
+                           std::string request =
+                               "GET " + path_ + " HTTP/1.1\r\nHost: " + server_.str() +
                                "\r\nAccept: text/event-stream\r\nCache-Control: no-store\r\n";
-         if (!sse_.last_id().empty()) request += "Last-Event-ID: " + sse_.last_id() + "\r\n";
-         stream_->write(request + "\r\n");
-       },
-       [this](std::string_view bytes) { on_bytes(bytes); }, [this](const std::string& reason) { fail(reason); }});
+                           if (!sse_.last_id().empty())
+                             request += "Last-Event-ID: " + sse_.last_id() + "\r\n";
+                           stream_->write(request + "\r\n");
+                         },
+                         [this](std::string_view bytes) { on_bytes(bytes); },
+                         [this](const std::string& reason) { fail(reason); }});
   restart_idle_timer();
 }
 
--- a/src/platform/platform_edge.cpp
+++ b/src/platform/platform_edge.cpp
@@ -223,13 +223,13 @@
       {{},
        [this, id](std::string_view bytes) {
          callers_.received(id, bytes, loop_.now());
-                 schedule_timer();
+         schedule_timer();
        },
        [this, id](const std::string& reason) {
          log_event(info, "caller_lost", {{"connection", std::to_string(id)}, {"detail", reason}});
          caller_streams_.erase(id);
          callers_.lost(id, loop_.now());
-                 schedule_timer();
+         schedule_timer();
        }});
   callers_.opened(id, loop_.now());
   schedule_timer();
@@ -400,22 +400,23 @@
   core_streams_[id] = {server, stream};
   stream->set_handlers({[this, id, server] {
                           if (CoreConnections* const connections = find_connections(server))
-                   connections->connected(id, loop_.now());
-                 schedule_timer();
+                            connections->connected(id, loop_.now());
+                          schedule_timer();
                         },
                         [this, id, server](std::string_view bytes) {
                           if (CoreConnections* const connections = find_connections(server))
-                   connections->received(id, bytes, loop_.now());
-                 schedule_timer();
+                            connections->received(id, bytes, loop_.now());
+                          schedule_timer();
                         },
                         [this, id, server, raw = stream.get()](const std::string&) {
-                          const ConnectionLoss loss = raw->error() == ECONNREFUSED ? ConnectionLoss::kRefused
-                                                                          : ConnectionLoss::kClosedByServer;
+                          const ConnectionLoss loss = raw->error() == ECONNREFUSED
+                                                          ? ConnectionLoss::kRefused
+                                                          : ConnectionLoss::kClosedByServer;
                           core_streams_.erase(id);
                           if (CoreConnections* const connections = find_connections(server))
-                   connections->disconnected(id, loss, loop_.now());
-                 remove_departed_servers();
-                 schedule_timer();
+                            connections->disconnected(id, loss, loop_.now());
+                          remove_departed_servers();
+                          schedule_timer();
                         }});
   return id;
 }
--- a/tests/edge/edge_test.cpp
+++ b/tests/edge/edge_test.cpp
@@ -54,8 +54,9 @@
   std::unique_ptr<net::Listener> listener;
   std::vector<std::unique_ptr<TracedConnection>> connections;
   std::vector<bool> open;
-  std::function<void(TracedConnection&, const MessageView&)> on_setup;        // CCR INITIAL
-  std::function<void(TracedConnection&, const MessageView&)> on_termination;  // CCR TERMINATION; unset: success
+  std::function<void(TracedConnection&, const MessageView&)> on_setup;  // CCR INITIAL
+  std::function<void(TracedConnection&, const MessageView&)>
+      on_termination;                          // CCR TERMINATION; unset: success
   std::map<std::string, std::string> answers;  // last set-up answer of each session, encoded
   std::map<std::string, std::vector<std::uint32_t>> termination_results;  // by session
   int setups = 0, terminations = 0, aborts = 0, dprs = 0, ceas = 0;
@@ -175,7 +176,9 @@
  protected:
   EdgeTest() : core(loop, "core-0.test"), caller(loop, "dock-1.test") {
     init_logging_once();
-    core.on_setup = [this](TracedConnection& line, const MessageView& view) { core.send_success(line, view); };
+    core.on_setup = [this](TracedConnection& line, const MessageView& view) {
+      core.send_success(line, view);
+    };
     start_list_server({});
   }
   void start_list_server(net::Address at) {
--- a/tests/platform/platform_edge_test.cpp
+++ b/tests/platform/platform_edge_test.cpp
@@ -31,9 +31,9 @@
           const std::size_t index = streams.size() - 1;
           stream->set_handlers({{},
                                 [this, index](std::string_view bytes) {
-                         splitters[index].feed(bytes);
+                                  splitters[index].feed(bytes);
                                   while (const auto line = splitters[index].next())
-                           handle_line(index, std::string(*line));
+                                    handle_line(index, std::string(*line));
                                 },
                                 [this, index](const std::string&) { streams[index].reset(); }});
         }) {}
@@ -96,10 +96,10 @@
   explicit Caller(std::shared_ptr<net::Stream> on) : stream(std::move(on)) {
     stream->set_handlers({{},
                           [this](std::string_view bytes) {
-                   parser.feed(bytes);
+                            parser.feed(bytes);
                             while (const auto message = parser.next()) {
-                     received.push_back({message->type, message->call, read_cause(*message),
-                                         std::string(message->find(Parameter::kDescription))});
+                              received.push_back({message->type, message->call, read_cause(*message),
+                                                  std::string(message->find(Parameter::kDescription))});
                             }
                           },
                           [this](const std::string&) { closed = true; }});
--- a/tests/platform/program_test.cpp
+++ b/tests/platform/program_test.cpp
@@ -96,7 +96,7 @@
         stream = net::Stream::connect(loop, address, 1 << 16);
         stream->set_handlers({[&] { stream->write(write_message(CallerMessageType::kTest, 5, {})); },
                               [&](std::string_view bytes) {
-                       parser.feed(bytes);
+                                parser.feed(bytes);
                                 const auto message = parser.next();
                                 passed =
                                     passed || (message && message->type == 53 && read_cause(*message) == 1);
