--- a/src/lab/process.hpp
+++ b/src/lab/process.hpp
@@ -1,4 +1,4 @@
-// Child processes and free ports, for what the lab starts.
+// Child processes, free ports and temporary folders for the programs that the lab starts.
 #ifndef MINTROCK_SRC_LAB_PROCESS_HPP_
 #define MINTROCK_SRC_LAB_PROCESS_HPP_
 
@@ -12,18 +12,18 @@
 
 namespace mintrock::lab {
 
-// Starts a program; throws std::runtime_error if there can be no further process.
-pid_t spawn(const std::vector<std::string>& words);
+// Starts a program; the first element of `command` is its path. Throws std::runtime_error if fork fails.
+pid_t spawn(const std::vector<std::string>& command);
 
 // 127.0.0.1, in host order.
 constexpr std::uint32_t kLoopback = 0x7F000001;
 
-// A loopback address that no other process gets, in host order: trials side by side never meet on a port,
-// though their listeners come and go.
-std::uint32_t loopback_for_process(pid_t process);
+// Returns a loopback address, in host order, that is unique to the process: trials that run side by side
+// never collide on a port, even as their listeners close and reopen.
+std::uint32_t loopback_for_process(pid_t pid);
 
-// Ports of a loopback address that nobody listens on, below those that the system gives to outgoing
-// connections. None is handed out twice.
+// Finds ports of a loopback address that have no listener, below the range that the system uses for outgoing
+// connections. Never returns the same port twice.
 class PortFinder {
  public:
   explicit PortFinder(std::uint32_t ip = kLoopback) : ip_(ip) {}
@@ -32,21 +32,21 @@
  private:
   std::uint32_t ip_;
   std::mt19937 random_{std::random_device{}()};
-  std::set<std::uint16_t> given_;
+  std::set<std::uint16_t> allocated_;
 };
 
-// A new folder of its own under the system's temporary one, its name beginning so.
+// Creates a new folder in the system's temporary directory; its name begins with `name`.
 std::string make_temporary_folder(const std::string& name);
 
-// Returns once somebody listens there; throws std::runtime_error after 10 s.
+// Waits until the port of 127.0.0.1 accepts connections; throws std::runtime_error after 10 s.
 void wait_for_port(std::uint16_t port);
 
-// Processes that end with their owner, at the latest.
+// Child processes; the destructor kills and reaps those that still run.
 class ChildProcesses {
  public:
   ~ChildProcesses();
-  pid_t spawn(const std::vector<std::string>& words);
-  void stop();  // SIGTERM, then SIGKILL after 15 s
+  pid_t spawn(const std::vector<std::string>& command);
+  void stop();  // sends SIGTERM and waits up to 15 s; the destructor kills what is left
 
  private:
   std::vector<pid_t> pids_;
--- a/src/lab/progress.hpp
+++ b/src/lab/progress.hpp
@@ -1,4 +1,4 @@
-// A run as it goes on: a line each second on a terminal, one every ten seconds elsewhere.
+// Shows the progress of a run: one line per second on a terminal, one every ten seconds otherwise.
 #ifndef MINTROCK_SRC_LAB_PROGRESS_HPP_
 #define MINTROCK_SRC_LAB_PROGRESS_HPP_
 
@@ -12,27 +12,29 @@
 
 namespace mintrock::lab {
 
-// The line itself. Pure: `at` in s since the script's beginning.
-std::string format_progress_line(const Scenario& scenario, double at, const Checker::Progress& before,
-                                 const Checker::Progress& now);
+// Formats one progress line. Pure: does no I/O and reads no clock. `at` is in seconds since the start of the
+// script.
+std::string format_progress_line(const Scenario& scenario, double at, const Checker::Progress& previous,
+                                 const Checker::Progress& current);
 
 class ProgressDisplay {
  public:
-  // Reads along what the parts write into `dir`; `epoch` is the script's beginning on the monotonic clock.
+  // Follows the traces that the stand-ins write into `dir`. `epoch` is the start of the script on the
+  // monotonic clock.
   ProgressDisplay(const Scenario& scenario, const std::string& dir, double epoch, double slack_s);
-  // To be called now and then; prints when a line is due.
+  // Must be called regularly; prints a line when one is due.
   void update(double now);
   void finish();
 
  private:
   const Scenario& scenario_;
   double epoch_;
-  bool terminal_;
+  bool is_terminal_;
   Checker checker_;
-  Checker::Progress before_;
+  Checker::Progress previous_;
   std::vector<TraceTail> tails_;
-  std::vector<v1::Record> waiting_;  // not old enough to be sure that nothing older is still to come
-  double next_ = 0;
+  std::vector<v1::Record> pending_records_;  // too recent: older records may still arrive
+  double next_update_ = 0;
 };
 
 }  // namespace mintrock::lab
--- a/src/lab/traced_connection.cpp
+++ b/src/lab/traced_connection.cpp
@@ -9,23 +9,23 @@
 namespace mintrock::lab {
 
 TracedConnection::TracedConnection(net::Loop& loop, std::shared_ptr<net::Stream> stream, TraceWriter& trace,
-                                   std::string who, std::uint64_t number, Handlers handlers)
+                                   std::string local_name, std::uint64_t id, Handlers handlers)
     : loop_(loop),
       stream_(std::move(stream)),
       trace_(trace),
-      local_name_(std::move(who)),
-      id_(number),
+      local_name_(std::move(local_name)),
+      id_(id),
       framer_(1 << 20),
       handlers_(std::move(handlers)) {
   local_port_ = stream_->local().port;
   remote_port_ = stream_->remote().port;
-  net::Stream::Handlers to;
-  to.on_connected = [this] {
+  net::Stream::Handlers stream_handlers;
+  stream_handlers.on_connected = [this] {
     local_port_ = stream_->local().port;
     record(v1::Record::OPENED, true, {}, "");
     if (handlers_.on_open) handlers_.on_open();
   };
-  to.on_bytes = [this](std::string_view bytes) {
+  stream_handlers.on_bytes = [this](std::string_view bytes) {
     const std::shared_ptr<bool> alive = alive_;
     framer_.feed(bytes);
     std::string_view frame;
@@ -35,11 +35,11 @@
       if (!diameter::decode(frame, view)) handlers_.on_message(view);
     }
   };
-  to.on_closed = [this](const std::string& why) {
-    record(v1::Record::CLOSED, false, {}, why);
-    if (handlers_.on_closed) handlers_.on_closed(why);
+  stream_handlers.on_closed = [this](const std::string& reason) {
+    record(v1::Record::CLOSED, false, {}, reason);
+    if (handlers_.on_closed) handlers_.on_closed(reason);
   };
-  stream_->set(std::move(to));
+  stream_->set(std::move(stream_handlers));
 }
 
 TracedConnection::~TracedConnection() {
@@ -94,10 +94,10 @@
 
 diameter::Builder begin_call_request(const std::string& host, const std::string& session, std::uint32_t type,
                                      std::uint32_t hop_by_hop, std::uint32_t end_to_end,
-                                     std::uint8_t more_flags) {
+                                     std::uint8_t extra_flags) {
   namespace avp = diameter::avp;
   diameter::Header header;
-  header.flags = static_cast<std::uint8_t>(diameter::kRequest | diameter::kProxiable | more_flags);
+  header.flags = static_cast<std::uint8_t>(diameter::kRequest | diameter::kProxiable | extra_flags);
   header.command = diameter::kCreditControl;
   header.application = diameter::kApplicationCreditControl;
   header.hop_by_hop = hop_by_hop;
