--- a/src/lab/soak/core_server.cpp
+++ b/src/lab/soak/core_server.cpp
@@ -104,20 +104,20 @@
   connection.stream = net::Stream::adopt(loop_, fd, from, kMaxUnsentBytes);
   connection.stream->set_handlers({{},
                                    [this, id](std::string_view bytes) {
-                            run_or_queue([this, id, text = std::string(bytes)] {
+                                     run_or_queue([this, id, text = std::string(bytes)] {
                                        const auto found = connections_.find(id);
                                        if (found == connections_.end()) return;
                                        found->second.line_reader.feed(text);
                                        while (connections_.count(id) != 0) {
                                          const auto line = connections_.at(id).line_reader.next();
                                          if (!line) return;
-                                handle_line(id, std::string(*line));
+                                         handle_line(id, std::string(*line));
                                        }
                                      });
                                    },
                                    [this, id](const std::string&) {
-                            drop_open_setups(id);  // also while the process hangs
-                            run_or_queue([this, id] { connection_lost(id); });
+                                     drop_open_setups(id);  // also while the process hangs
+                                     run_or_queue([this, id] { connection_lost(id); });
                                    }});
   run_or_queue([this, id, edge] {
     send_load_state(id);
--- a/src/lab/soak/discovery.cpp
+++ b/src/lab/soak/discovery.cpp
@@ -62,8 +62,8 @@
   const std::size_t id = ++last_id_;
   subscribers_[id].stream = net::Stream::adopt(loop_, fd, from, kMaxUnsentBytes);
   subscribers_[id].stream->set_handlers({{},
-                                [this, id](std::string_view bytes) { handle_request(id, bytes); },
-                                [this, id](const std::string&) { subscribers_.erase(id); }});
+                                         [this, id](std::string_view bytes) { handle_request(id, bytes); },
+                                         [this, id](const std::string&) { subscribers_.erase(id); }});
 }
 
 void Discovery::handle_request(std::size_t id, std::string_view bytes) {
--- a/src/lab/soak/faulty_link.cpp
+++ b/src/lab/soak/faulty_link.cpp
@@ -41,11 +41,11 @@
   const std::size_t id = ++last_id_;
   links_[id].client = client;
   client->set_handlers({{},
-               [this, id](std::string_view bytes) {
-                 links_.at(id).to_server += bytes;
-                 forward(id);
-               },
-               [this, id](const std::string&) { close_link(id, false); }});
+                        [this, id](std::string_view bytes) {
+                          links_.at(id).to_server += bytes;
+                          forward(id);
+                        },
+                        [this, id](const std::string&) { close_link(id, false); }});
   if (connect_delay_s_ == 0) return open_server_side(id);
   loop_.after(connect_delay_s_, [this, id, alive = alive_] {
     if (!*alive) return;
@@ -60,11 +60,11 @@
   const auto server = net::Stream::connect(loop_, target_, kMaxUnsentBytes);
   found->second.server = server;
   server->set_handlers({[this, id] { forward(id); },
-               [this, id](std::string_view bytes) {
-                 links_.at(id).to_client += bytes;
-                 forward(id);
-               },
-               [this, id](const std::string&) { close_link(id, false); }});
+                        [this, id](std::string_view bytes) {
+                          links_.at(id).to_client += bytes;
+                          forward(id);
+                        },
+                        [this, id](const std::string&) { close_link(id, false); }});
 }
 
 void FaultyLink::forward(std::size_t id) {
